--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -7,24 +7,27 @@
 )
 
 const (
-	// BackoffBase is the longest backoff after the first failed watch.
+	// BackoffBase is the upper bound of the backoff after the first failed watch.
 	BackoffBase policy.Time = 100_000
 
-	// MaxBackoffDoublings bounds how often the backoff doubles.
+	// MaxBackoffDoublings is how often the upper bound doubles at most.
 	MaxBackoffDoublings = 4
 )
 
-// Backoff is the delay before a watch is opened again after a failure. It is
-// for watches that the router opens by itself; one that the policy asked for is
-// retried at the policy's own pace. The zero value is ready for use.
+// Backoff computes the delay before the next attempt to open a watch that has
+// failed. It applies where the router itself retries the watch; the policy
+// schedules the retries of the watches that it requests. The zero value is
+// ready for use.
 type Backoff struct {
-	failures int // in a row
+	failures int // consecutive failures
 }
 
-// Next returns the delay after one more failure. It doubles with each failure,
-// with jitter, since routers that all retry at once would overload the service
-// again. It ends well within the drain grace, as changes during an outage count
-// as notified soon after its end. A drain grace of 0 sets no bound.
+// Next returns the delay after another failure. Its upper bound doubles with
+// each failure, and jitter shortens it by up to a half, since routers that all
+// retry at the same time would overload the service again. The delay is at most
+// half of the drain grace, because the router counts as notified of changes
+// made during an outage soon after the outage ends. A drain grace of 0 sets no
+// bound.
 func (b *Backoff) Next(drainGrace policy.Time) policy.Time {
 	delay := BackoffBase << min(b.failures, MaxBackoffDoublings)
 	if drainGrace > 0 {
@@ -34,5 +37,5 @@
 	return policy.Time(float64(delay) * (0.5 + rand.Float64()/2))
 }
 
-// Reset starts over, after a watch that succeeded.
+// Reset sets the number of failures to 0, after a successful watch.
 func (b *Backoff) Reset() { b.failures = 0 }
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -6,7 +6,8 @@
 	"marlstage/policy"
 )
 
-// TestBackoffDoublesWithJitter up to half of the drain grace, until it is reset.
+// TestBackoffDoublesWithJitter checks that delays double up to half of the drain grace, that jitter makes them
+// differ, and that Reset starts again from the base.
 func TestBackoffDoublesWithJitter(t *testing.T) {
 	const drainGrace policy.Time = 1_000_000
 	delays := map[policy.Time]bool{}
@@ -27,7 +28,7 @@
 	}
 }
 
-// TestBackoffIsBounded where the drain grace sets no bound.
+// TestBackoffIsBounded checks the bound on the number of doublings, which applies where the drain grace is 0 or long.
 func TestBackoffIsBounded(t *testing.T) {
 	const longest = BackoffBase << MaxBackoffDoublings
 	for name, drainGrace := range map[string]policy.Time{"none": 0, "long": 10 * longest} {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,7 +1,7 @@
 // Package discovery is the client of the discovery service, which publishes
-// the endpoint list of the cache servers. The client long-polls: a call names
-// the version that is known, and the service holds it open until the list
-// changes or the wait is over.
+// the endpoint list of the cache servers. The client uses long polling: a call
+// names the version of the list that the client has, and the service delays its
+// response until the list changes or the requested wait is over.
 package discovery
 
 import (
@@ -15,50 +15,56 @@
 )
 
 const (
-	// ResponseAllowance is how much longer than its wait a call may take.
+	// ResponseAllowance is the time that a call may take in addition to its wait.
 	ResponseAllowance = time.Second
 
-	// Where each watch has a cost, the service may hold it open for longer.
+	// requiredWatchWait is the wait of a watch where lists are sent only to
+	// routers that watch. It is the longer one because each watch has a cost.
 	requiredWatchWait = 3 * time.Second
-	// Elsewhere the wait is shorter: a change that a stalled watch misses must
-	// be received before policy.NotificationDeadline.
+	// optionalWatchWait is the wait elsewhere. It is shorter because a change that
+	// a stalled watch misses must be received before policy.NotificationDeadline.
 	optionalWatchWait = 2 * time.Second
 
-	// minCallInterval is the least time from one call that brings no news to the
-	// next. It keeps a service that does not wait from taking all processor
-	// time, and is short enough not to end the watch.
+	// minCallInterval is the minimum time between the start of a call that returns
+	// no change and the next call. It limits the processor time that is spent on a
+	// service that responds without waiting. It is short enough not to count as a
+	// gap in the watch.
 	minCallInterval = 50 * time.Millisecond
 
-	hostsPath             = "/discovery/hosts"
-	maxResponseSize       = 8 << 20  // bytes of a response's body, ...
-	responseMemoryDivisor = 16       // ... also bounded by this part of the memory: parsing takes several times the size
-	maxHeaderSize         = 64 << 10 // bytes of a response's header
+	hostsPath       = "/discovery/hosts"
+	maxResponseSize = 8 << 20 // bytes in the body of a response
+	// responseMemoryDivisor limits a response's body to this fraction of the
+	// memory, because parsing takes several times the size of the body.
+	responseMemoryDivisor = 16
+	maxHeaderSize         = 64 << 10 // bytes in the header of a response
 	idleConnTimeout       = 90 * time.Second
 )
 
 var (
-	// ErrOutOfOrder reports that the changes since a version cannot be had. The
-	// next call has to ask for a snapshot; the same call would fail for ever.
+	// ErrOutOfOrder reports that the service cannot supply the changes since the
+	// requested version. The next call has to request a snapshot, because the same
+	// call would fail each time.
 	ErrOutOfOrder = errors.New("out of order")
 
-	// ErrResponseTooLong reports a response over the size bound.
+	// ErrResponseTooLong reports a response whose body exceeds the size limit.
 	ErrResponseTooLong = errors.New("response is too long")
 )
 
 // StatusError reports a response whose status is not 200 OK.
 type StatusError struct {
 	Code   int
-	Status string // code and text
+	Status string // code and reason phrase
 }
 
-// Error names the status.
+// Error describes the status.
 func (e *StatusError) Error() string { return "response status is " + e.Status }
 
-// isClientError reports whether the service rejected the call itself.
+// isClientError reports a 4xx status, with which the service rejects the call as
+// invalid.
 func (e *StatusError) isClientError() bool { return e.Code/100 == 4 }
 
-// WatchWait returns how long the service may hold a watch open. It depends on
-// whether lists come only to routers that watch.
+// WatchWait returns how long the service may hold a call of a watch open.
+// watchRequired tells whether lists are sent only to routers that watch.
 func WatchWait(watchRequired bool) time.Duration {
 	if watchRequired {
 		return requiredWatchWait
@@ -66,8 +72,8 @@
 	return optionalWatchWait
 }
 
-// MaxResponseSize returns the bound on a response's body for a machine with
-// the given memory.
+// MaxResponseSize returns the size limit of a response's body, in bytes, for a
+// machine with the given memory.
 func MaxResponseSize(memoryMB int64) int64 {
 	return min(maxResponseSize, memoryMB<<20/responseMemoryDivisor)
 }
@@ -75,12 +81,12 @@
 // ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	Address         string        // of the discovery service
-	MaxResponseSize int64         // bytes of a response's body
-	WatchWait       time.Duration // how long the service may hold a watch open
+	MaxResponseSize int64         // bytes in the body of a response
+	WatchWait       time.Duration // how long the service may hold a call open
 }
 
-// Client calls the discovery service. It holds one connection at most, as
-// that counts against the router's descriptors.
+// Client calls the discovery service. It has at most one connection, as each one
+// counts against the router's limit on descriptors.
 type Client struct {
 	url             string
 	maxResponseSize int64
@@ -88,7 +94,7 @@
 	http            *http.Client
 }
 
-// NewClient returns a client that has made no call yet.
+// NewClient returns a client. It opens no connection before the first call.
 func NewClient(cfg ClientConfig) *Client {
 	return &Client{
 		url:             "http://" + cfg.Address + hostsPath,
@@ -100,22 +106,23 @@
 				MaxIdleConnsPerHost:    1,
 				IdleConnTimeout:        idleConnTimeout,
 				MaxResponseHeaderBytes: maxHeaderSize,
-				// An unreachable machine must not hold a call for as long as a watch may take.
+				// Connecting has its own, shorter timeout: an unreachable machine must not
+				// block a call for as long as a watch may take.
 				DialContext: (&net.Dialer{Timeout: ResponseAllowance}).DialContext,
 			},
-			// A redirect would lead away from the address that was configured.
+			// Redirects are not followed, as they would lead away from the configured address.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
 }
 
-// CloseIdleConnections closes the connection that waits for another call.
+// CloseIdleConnections closes the connection if no call uses it.
 func (c *Client) CloseIdleConnections() { c.http.CloseIdleConnections() }
 
-// Watch hands on each list that follows the given version, until a call fails
-// or the context ends; it returns why. It calls again at once after each
-// response, as a pause would be a gap in the watch, unless the service responds
-// without any news faster than is of use.
+// Watch passes each list that follows the given version to handle. It returns an
+// error when a call fails or the context ends. It makes the next call immediately
+// after each response, as a pause would be a gap in the watch. Only after a
+// response without a change, calls are at least minCallInterval apart.
 func (c *Client) Watch(ctx context.Context, version int64, handle func(EndpointList)) error {
 	for {
 		begun := time.Now()
@@ -134,7 +141,8 @@
 	}
 }
 
-// sleepUntil waits until the given time. It fails if the context ends first.
+// sleepUntil waits until the given time. It returns an error if the context ends
+// first.
 func sleepUntil(ctx context.Context, at time.Time) error {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -146,11 +154,11 @@
 	}
 }
 
-// Poll makes one call. It waits for changes since the given version, or asks
-// for a snapshot without waiting where that is NoVersion.
+// Poll makes one call. It waits for changes since the given version. With
+// NoVersion, it requests a snapshot, which the service sends without waiting.
 func (c *Client) Poll(ctx context.Context, version int64) (EndpointList, error) {
-	// The timeout covers the body too: a service that stalls in the middle of a
-	// response must not hold the watch for ever.
+	// The timeout also covers the body: a service that stalls in the middle of a
+	// response must not block the watch indefinitely.
 	ctx, cancel := context.WithTimeout(ctx, c.timeout(version))
 	defer cancel()
 	body, err := c.fetch(ctx, c.pollURL(version))
@@ -164,7 +172,9 @@
 	return list, checkOrder(&list, version)
 }
 
-// timeout bounds a call with its response. One for a snapshot involves no wait.
+// timeout returns the time limit for a call including its response. The service
+// does not delay its response to a call for a snapshot, so the limit does not
+// depend on the client's wait there.
 func (c *Client) timeout(version int64) time.Duration {
 	if version == NoVersion {
 		return optionalWatchWait + ResponseAllowance
@@ -203,8 +213,8 @@
 	return body, nil
 }
 
-// classify marks an error as out of order where the service rejected a call
-// for changes: it may not know the version.
+// classify wraps the error in ErrOutOfOrder if the service rejected a call for
+// changes as invalid, because it may not know the version.
 func classify(err error, version int64) error {
 	var status *StatusError
 	if version != NoVersion && errors.As(err, &status) && status.isClientError() {
@@ -213,8 +223,8 @@
 	return err
 }
 
-// checkOrder reports changes that do not follow the given version. A snapshot
-// follows any.
+// checkOrder returns ErrOutOfOrder for changes that do not follow the given
+// version. A snapshot follows every version.
 func checkOrder(list *EndpointList, version int64) error {
 	if list.Snapshot || version != NoVersion && list.Version >= version {
 		return nil
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// TestInvalidResponseFailsWatch: no part of an invalid list is handed on.
+// TestInvalidResponseFailsWatch checks that an invalid list ends the watch and that no part of it is delivered.
 func TestInvalidResponseFailsWatch(t *testing.T) {
 	good := endpointJSON("c1", "127.0.0.1:1", "in_service")
 	for _, body := range []string{"", "not JSON", "{}", `{"index":5}`, `{"index":-5,"snapshot":true,"endpoints":[]}`,
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestResponseSizeLimit at the smallest memory: a list of 1,024 endpoints with
-// the longest names is accepted, and one over the size bound fails the watch.
+// TestResponseSizeLimit checks with the smallest memory that a list of 1,024 endpoints with the longest names is
+// accepted, and that a list over the size limit fails the watch.
 func TestResponseSizeLimit(t *testing.T) {
 	for _, n := range []int{1024, 20 * 1024} {
 		var endpoints []string
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestRejectedVersionIsOutOfOrder: a status that rejects the call asks for a
-// snapshot, and one of an overloaded service does not.
+// TestRejectedVersionIsOutOfOrder checks that a 4xx status makes the client request a snapshot, and that the status
+// of an overloaded service does not.
 func TestRejectedVersionIsOutOfOrder(t *testing.T) {
 	for status, want := range map[int]bool{http.StatusGone: true, http.StatusBadRequest: true, http.StatusServiceUnavailable: false} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
@@ -80,13 +80,13 @@
 			t.Errorf("%d: %v", status, err)
 		}
 		if statusErr := (*StatusError)(nil); !errors.As(err, &statusErr) || statusErr.Code != status {
-			t.Errorf("%d: %v names no such status", status, err)
+			t.Errorf("%d: error %v is no StatusError with this code", status, err)
 		}
 	}
 }
 
-// serveStalled accepts one connection, and writes to it after the request has
-// come. It leaves the connection open.
+// serveStalled accepts one connection, reads the request and sends the given bytes. Then it sends no more and leaves
+// the connection open until the client closes it.
 func serveStalled(ln net.Listener, wire string) {
 	nc, err := ln.Accept()
 	if err != nil {
@@ -100,7 +100,8 @@
 	_, _ = io.Copy(io.Discard, nc)
 }
 
-// TestStalledResponseTimesOut before its first byte and at any place within.
+// TestStalledResponseTimesOut checks that a call times out if the response stalls before its first byte, in its
+// header or in its body.
 func TestStalledResponseTimesOut(t *testing.T) {
 	body := listJSON(9, true, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestFruitlessRepliesDoNotSpin: a service that replies at once though it has nothing new is not called as fast as it
-// replies.
+// TestFruitlessRepliesDoNotSpin guards against a busy loop of calls to a service that responds immediately although
+// the list has not changed.
 func TestFruitlessRepliesDoNotSpin(t *testing.T) {
 	addr, bodies := newFakeService(t)
 	lists, _ := startWatch(t, newTestClient(addr))
--- a/internal/discovery/duplicate_keys.go
+++ b/internal/discovery/duplicate_keys.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// duplicateKey returns which of the given keys a JSON object has twice at its
-// top level, or an empty string. The decoder would silently take the last one.
-// Letter case is ignored, as by the decoder. The JSON has to be valid.
+// duplicateKey returns the first of the given keys that occurs twice at the top
+// level of a JSON object, or an empty string. The decoder would silently use the
+// last occurrence. Like the decoder, it ignores case. The JSON has to be valid.
 func duplicateKey(object []byte, keys ...string) string {
 	seen := make([]bool, len(keys))
 	depth := 0
@@ -37,7 +37,7 @@
 	return ""
 }
 
-// stringEnd returns the index of the quote that ends the string whose content
+// stringEnd returns the index of the closing quote of the string whose content
 // begins at the given index.
 func stringEnd(json []byte, begin int) int {
 	for i := begin; i < len(json); i++ {
@@ -51,7 +51,8 @@
 	return len(json) - 1
 }
 
-// isKey reports whether the string that is followed by the given JSON is a key.
+// isKey reports whether a string is a key of an object, given the JSON that
+// follows the string.
 func isKey(following []byte) bool {
 	following = bytes.TrimLeft(following, " \t\r\n")
 	return len(following) > 0 && following[0] == ':'
--- a/internal/discovery/duplicate_keys_test.go
+++ b/internal/discovery/duplicate_keys_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestRepeatedKeyIsRejected: a list that is given twice is neither the first nor the second one.
+// TestRepeatedKeyIsRejected guards against a list with a repeated key, of which the decoder would silently use the
+// last value.
 func TestRepeatedKeyIsRejected(t *testing.T) {
 	endpoints := `"endpoints":[` + endpointJSON("c1", "127.0.0.1:1", "in_service") + `]`
 	for _, raw := range []string{
@@ -21,7 +22,8 @@
 	}
 }
 
-// TestStringsThatLookLikeKeys are none: values, keys of other objects, and text with quotes.
+// TestStringsThatLookLikeKeys checks that values, keys of other objects and text with quotes are not taken for
+// repeated keys.
 func TestStringsThatLookLikeKeys(t *testing.T) {
 	for _, raw := range []string{
 		`{"index":9,"snapshot":true,"endpoints":[]}`,
--- a/internal/discovery/endpointlist.go
+++ b/internal/discovery/endpointlist.go
@@ -10,7 +10,7 @@
 	"marlstage/policy"
 )
 
-// NoVersion is the version of an endpoint list that was never received.
+// NoVersion stands for the version of the endpoint list as long as none has been received.
 const NoVersion = -1
 
 const (
@@ -18,13 +18,13 @@
 	microsecondsPerMillisecond = 1000
 )
 
-// EndpointList is a validated endpoint list: either a snapshot or the changes
-// since an earlier version.
+// EndpointList is a validated endpoint list. It is either a snapshot or the
+// changes since an earlier version.
 type EndpointList struct {
 	Version   int64
-	Snapshot  bool // endpoints that are not listed are gone
+	Snapshot  bool // the list is complete: endpoints that are not listed no longer exist
 	Endpoints []policy.Endpoint
-	Addresses []string // of the endpoints, in their order
+	Addresses []string // addresses of the endpoints, in the same order
 }
 
 // Kind returns how the policy has to apply the list.
@@ -40,16 +40,16 @@
 	return slices.ContainsFunc(l.Endpoints, func(e policy.Endpoint) bool { return e.State == policy.InService })
 }
 
-// FieldError reports a field of an endpoint list that is missing or wrong.
+// FieldError reports a field of an endpoint list that is missing or invalid.
 type FieldError struct {
-	Field  string // its key
+	Field  string // JSON key
 	Reason string
 }
 
-// Error names the field and the reason.
+// Error returns the field's key and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// listDocument is the JSON form of an endpoint list. Unknown keys are skipped.
+// listDocument is the JSON form of an endpoint list. Unknown keys are ignored.
 type listDocument struct {
 	Version   *int64              `json:"index"`
 	Snapshot  bool                `json:"snapshot"`
@@ -73,9 +73,9 @@
 	"terminated":  policy.Removed,
 }
 
-// ParseEndpointList reads an endpoint list as the discovery service sends it.
-// One invalid endpoint fails all of the list: a list applied in part would be
-// worse than the previous one.
+// ParseEndpointList parses an endpoint list as the discovery service sends it.
+// A single invalid endpoint invalidates the whole list, because a partially
+// applied list would be worse than the previous one.
 func ParseEndpointList(raw []byte) (EndpointList, error) {
 	var doc listDocument
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -91,7 +91,7 @@
 	return list, nil
 }
 
-// endpointList checks the fields and converts them.
+// endpointList validates the document and converts it.
 func (d *listDocument) endpointList() (EndpointList, error) {
 	if d.Version == nil || *d.Version < 0 {
 		return EndpointList{}, &FieldError{Field: "index", Reason: "missing or negative"}
@@ -112,8 +112,9 @@
 	return list, nil
 }
 
-// validate reports the first field that is wrong, given the names listed
-// before. A removed endpoint needs no address.
+// validate returns a *FieldError for the first invalid field. listed holds the
+// names of the preceding endpoints, as a name may occur only once. A removed
+// endpoint needs no address.
 func (d *endpointDocument) validate(listed map[string]bool) error {
 	if d.Name == "" || len(d.Name) > maxNameLength || listed[d.Name] {
 		return &FieldError{Field: "name", Reason: "empty, too long or listed twice"}
--- a/internal/discovery/failure.go
+++ b/internal/discovery/failure.go
@@ -8,24 +8,24 @@
 	"syscall"
 )
 
-// Failure is what a failed call says of the service.
+// Failure is the kind of a failed call, which tells whether the service is available.
 type Failure uint8
 
-// The kinds of a failure.
+// The kinds of failures.
 const (
-	Unavailable   Failure = iota // it could not be reached, did not answer in time or turned the call away
-	UnusableReply                // it answered, but the connection broke or the list can't be used
-	LocalFault                   // the call did not leave this machine
+	Unavailable   Failure = iota // the service was unreachable, did not respond in time or rejected the call
+	UnusableReply                // the service responded, but the connection broke or the list is not usable
+	LocalFault                   // the call failed on this machine and did not reach the network
 )
 
-// localFaults are the errors of socket, connect and epoll_ctl that come from this machine, mostly for
-// a moment.
+// localFaults are the errors of socket, connect and epoll_ctl that are caused by this machine. Most of them
+// are temporary.
 var localFaults = []syscall.Errno{
 	syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR, syscall.EMFILE,
 	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
 }
 
-// ClassifyFailure tells what an error of Watch or Poll says of the service.
+// ClassifyFailure returns the kind of failure that an error of Watch or Poll reports.
 func ClassifyFailure(err error) Failure {
 	var status *StatusError
 	var operation *net.OpError
--- a/internal/discovery/failure_test.go
+++ b/internal/discovery/failure_test.go
@@ -13,12 +13,12 @@
 	"testing"
 )
 
-// setDial has a client make its connections with the given function.
+// setDial replaces the function with which a client opens connections.
 func setDial(c *Client, dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	c.http.Transport.(*http.Transport).DialContext = dial
 }
 
-// TestDialErrorsAreClassified by whether the call left this machine.
+// TestDialErrorsAreClassified checks that an error caused by this machine is not taken for an unavailable service.
 func TestDialErrorsAreClassified(t *testing.T) {
 	for errno, want := range map[syscall.Errno]Failure{
 		syscall.EADDRNOTAVAIL: LocalFault, syscall.EMFILE: LocalFault, syscall.ENETUNREACH: LocalFault,
@@ -37,7 +37,7 @@
 	}
 }
 
-// failingConn is a connection on which reads fail once the peer has sent all that it sends.
+// failingConn is a connection on which reads fail with errno where they would report the end of the stream.
 type failingConn struct {
 	net.Conn
 	errno syscall.Errno
@@ -51,7 +51,7 @@
 	return n, err
 }
 
-// serveBytes replies to one call with the given bytes and closes the connection.
+// serveBytes starts a server that responds to one call with the given bytes and closes the connection.
 func serveBytes(t *testing.T, wire string) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,8 +72,8 @@
 	return ln.Addr().String()
 }
 
-// TestBrokenConnectionIsNoEnd: a list without a length that the connection breaks behind, in whatever way the system
-// reports it, is not taken for a complete one, and the failure tells that the service was within reach.
+// TestBrokenConnectionIsNoEnd guards against taking a list for complete that has no length and whose connection
+// breaks, whichever error the system reports. The failure has to show that the service could be reached.
 func TestBrokenConnectionIsNoEnd(t *testing.T) {
 	body := listJSON(9, true, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 	for _, wire := range []string{
@@ -100,7 +100,8 @@
 	}
 }
 
-// TestRepliesAreClassified: an overloaded or silent service is unavailable, one that sends rubbish is within reach.
+// TestRepliesAreClassified checks that an overloaded service counts as unavailable, and that a service counts as
+// reachable if it sends an invalid response.
 func TestRepliesAreClassified(t *testing.T) {
 	for wire, want := range map[string]Failure{
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n": Unavailable,
@@ -117,6 +118,6 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := newTestClient("127.0.0.1:1").Poll(ctx, 5); ClassifyFailure(err) != Unavailable {
-		t.Errorf("a call that was given up: %v is of kind %d", err, ClassifyFailure(err))
+		t.Errorf("a cancelled call: %v is of kind %d", err, ClassifyFailure(err))
 	}
 }
--- a/internal/discovery/fake_service_test.go
+++ b/internal/discovery/fake_service_test.go
@@ -9,10 +9,12 @@
 	"time"
 )
 
-// testTimeout bounds each wait for an event that must come. Only a failing
-// test waits so long.
+// testTimeout limits each wait for an expected event. Only a failing test waits
+// that long.
 const testTimeout = 30 * time.Second
 
+// receive returns the next value from the channel. what describes the value in
+// the failure message.
 func receive[T any](t *testing.T, c <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -24,14 +26,14 @@
 	}
 }
 
-// newTestClient returns a client with the bounds of a router with 192 MB of
-// memory, where a watch is required.
+// newTestClient returns a client with the limits for a router that has 192 MB of
+// memory and where a watch is required.
 func newTestClient(addr string) *Client {
 	return NewClient(ClientConfig{Address: addr, MaxResponseSize: MaxResponseSize(192), WatchWait: WatchWait(true)})
 }
 
-// startWatch runs a watch from version 5 on. It sends the lists that are
-// received to one channel, and why the watch ended to the other.
+// startWatch starts a watch from version 5. It returns a channel of the received
+// lists and a channel of the error that ends the watch.
 func startWatch(t *testing.T, client *Client) (lists <-chan EndpointList, failed <-chan error) {
 	t.Helper()
 	received, ended := make(chan EndpointList, 1), make(chan error, 1)
@@ -41,18 +43,19 @@
 	return received, ended
 }
 
-// endpointJSON is an endpoint of the service's list.
+// endpointJSON returns the JSON form of an endpoint.
 func endpointJSON(name, addr, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","group":1,"status":%q,"weight":1,"since_ms":0}`, name, addr, status)
 }
 
-// listJSON is a list as the service sends it.
+// listJSON returns the JSON form of an endpoint list.
 func listJSON(version int, snapshot bool, endpoints ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, version, snapshot, strings.Join(endpoints, ","))
 }
 
-// newFakeService returns the address of a service that responds to each call
-// with the next body from the channel, or with status 503 where that is empty.
+// newFakeService starts a fake discovery service and returns its address. It
+// responds to each call with the next body from the channel, or with status 503
+// if that body is empty.
 func newFakeService(t *testing.T) (addr string, bodies chan<- string) {
 	t.Helper()
 	responses := make(chan string)
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -11,7 +11,7 @@
 	"marlstage/policy"
 )
 
-// Verbs of commands.
+// Verbs are the names of the commands.
 const (
 	VerbGet  = "C.GET"
 	VerbSet  = "C.SET"
@@ -19,7 +19,7 @@
 	VerbQuit = "QUIT"
 )
 
-// Positions of a command's arguments.
+// Indexes of the arguments in Command.Args.
 const (
 	VerbArgument = iota
 	KeyArgument
@@ -28,7 +28,7 @@
 	ValueArgument // of a C.SET only
 )
 
-// Errors in a command that has arrived completely. Their texts go to the client.
+// Errors in a command that has been received completely. Their texts are sent to the client.
 var (
 	ErrArgumentSize   = errors.New("an argument is empty or too long")
 	ErrValueTooLong   = errors.New("the value is too long")
@@ -36,7 +36,7 @@
 	ErrMissingOption  = errors.New("c and d are needed")
 )
 
-// ArgumentCountError reports a command with too many or too few arguments. Its text goes to the
+// ArgumentCountError reports a command with too many or too few arguments. Its text is sent to the
 // client.
 type ArgumentCountError struct {
 	Verb string // as the client sent it
@@ -46,26 +46,26 @@
 	return "wrong number of arguments for " + e.Verb
 }
 
-// Command is a C.GET or a C.SET of a client.
+// Command is a C.GET or C.SET command of a client.
 type Command struct {
-	Args              [][]byte // as they arrived; see the positions above
-	Size              int      // in bytes on the wire
-	Write             bool     // a C.SET
+	Args              [][]byte // as received; indexed by VerbArgument and the following constants
+	Size              int      // size on the wire in bytes
+	Write             bool     // whether this is a C.SET
 	KeyHash           uint64
 	Class             string
 	Tenant            string
 	Timeout           policy.Time // how long the client waits for the reply
-	Cost              policy.Time // what the client expects the request to cost; 0 if it does not say
+	Cost              policy.Time // cost that the client expects; 0 if it sent none
 	HasIdempotencyKey bool
 
-	// The digits of the timeout are options[timeoutStart:timeoutEnd]; timeoutEnd is 0 until the
-	// option has been found.
+	// The digits of the timeout are Args[OptionsArgument][timeoutStart:timeoutEnd]. timeoutEnd is 0
+	// until the option has been found.
 	timeoutStart int
 	timeoutEnd   int
 }
 
-// ParseCommand interprets the arguments of a C.GET or C.SET that took size bytes on the wire. The
-// command keeps args.
+// ParseCommand parses the arguments of a C.GET or C.SET that took size bytes on the wire. The
+// returned command retains args.
 func ParseCommand(args [][]byte, size int) (Command, error) {
 	c := Command{
 		Args:  args,
@@ -116,7 +116,7 @@
 	optionCost           = "h" // in microseconds
 )
 
-// parseOptions interprets the options argument, a list of name=value separated by commas.
+// parseOptions parses the options argument, a comma-separated list of name=value.
 func (c *Command) parseOptions(options string) error {
 	for start := 0; start < len(options); {
 		end := len(options)
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// parseOption interprets one option, which ends at the given position of the options argument.
-// Options of other names are forwarded without a look at them.
+// parseOption parses one option, which ends at the given index of the options argument. Options with
+// unknown names are ignored here and forwarded unchanged.
 func (c *Command) parseOption(option string, end int) error {
 	name, value, _ := strings.Cut(option, "=")
 	switch name {
@@ -167,15 +167,14 @@
 	return nil
 }
 
-// Room in bytes for what may be longer in an encoded command than in the client's: the timeout, and
-// the lengths in front of the arguments.
+// Extra bytes reserved for parts of an encoded command that may be longer than in the client's command.
 const (
-	timeoutGrowth = 8
-	frameGrowth   = 32
+	timeoutGrowth = 8  // for the digits of the timeout
+	frameGrowth   = 32 // for the lengths in front of the arguments
 )
 
-// Encode returns the command as the client sent it, but with the given timeout, which is rounded
-// down to milliseconds and is at least 1 ms.
+// Encode returns the encoded command with the client's arguments, except that the timeout is replaced
+// by the given one. The timeout is rounded down to milliseconds and is at least 1 ms.
 func (c *Command) Encode(timeout policy.Time) []byte {
 	options := c.optionsWithTimeout(timeout)
 	b := redcon.AppendArray(make([]byte, 0, c.Size+frameGrowth), len(c.Args))
--- a/internal/resp/command_test.go
+++ b/internal/resp/command_test.go
@@ -53,6 +53,7 @@
 	}
 }
 
+// TestEncode checks that only the timeout is replaced, and that it is rounded down to at least 1 ms.
 func TestEncode(t *testing.T) {
 	c, err := ParseCommand(arguments("C.SET", "key", "id", "c=put,d=20000,size=12", "\x00\r\nVALUE"), 100)
 	if err != nil {
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -8,19 +8,19 @@
 	"github.com/tidwall/redcon"
 )
 
-// Errors in the framing of a command. The bytes behind it can't be interpreted any more. Their
-// texts go to the client.
+// Errors in the framing of a command. The bytes that follow can no longer be split into commands. The
+// texts of the errors are sent to the client.
 var (
 	ErrInvalidLength = errors.New("invalid length")
 	ErrNotAnArray    = errors.New("expected '*'")
 )
 
-// NextCommand splits the first command off b. It returns the arguments, which share b's memory,
-// and the command's size in b. The size is 0 while b holds no complete command. A complete command
-// may have no arguments: an empty line or an empty array.
+// NextCommand decodes the first command in b. It returns the arguments, which share b's memory, and
+// the size of the command in b. The size is 0 as long as b contains no complete command. A complete
+// command has no arguments if it is an empty line or an empty array.
 func NextCommand(b []byte) (args [][]byte, size int, err error) {
 	defer func() {
-		// The codec panics on lengths that are out of range.
+		// redcon panics on lengths that are out of range.
 		if recover() != nil {
 			args, size, err = nil, 0, ErrInvalidLength
 		}
@@ -38,7 +38,7 @@
 	return args, len(b) - len(rest), nil
 }
 
-// AppendCommand appends an array of bulk strings, which is the form of every command.
+// AppendCommand appends a command in its usual encoding, an array of bulk strings.
 func AppendCommand(b []byte, words ...string) []byte {
 	b = redcon.AppendArray(b, len(words))
 	for _, word := range words {
@@ -50,8 +50,8 @@
 // minBulkSize is the size in bytes of the shortest bulk string.
 const minBulkSize = len("$0\r\n\r\n")
 
-// MissingSize returns how many bytes the rest of the incomplete command in b has at least, which is one
-// or more. A reader that asks for no more than that never reads beyond the command.
+// MissingSize returns a lower bound on the number of bytes that are missing from the incomplete command
+// in b. It is at least 1. A reader that requests no more than that never reads beyond the command.
 func MissingSize(b []byte) int {
 	elements, size, ok := header(b, redcon.Array)
 	if !ok {
@@ -60,7 +60,7 @@
 	for rest := b[size:]; elements > 0; elements-- {
 		length, size, ok := header(rest, redcon.Bulk)
 		if !ok {
-			// Of an element that has begun, at least the end of a line is missing.
+			// At least the end of a line is missing from an element that has begun.
 			return max(1, minBulkSize-len(rest)) + (elements-1)*minBulkSize
 		}
 		if end := size + length + len(lineEnd); end > len(rest) {
@@ -71,8 +71,9 @@
 	return 1
 }
 
-// header returns the length in the first line of b, and the size of that line. It reports false if the
-// line is not complete, is no header of the given kind, or has a length that no command can have.
+// header parses the first line of b as the header of an array or a bulk string. It returns the length in
+// the header and the size of the line. ok is false if the line is incomplete, is not a header of the given
+// type, or has a length that is invalid in a command.
 func header(b []byte, kind redcon.Type) (length, size int, ok bool) {
 	line, _, complete := bytes.Cut(b, lineEnd)
 	if !complete || len(line) == 0 || line[0] != byte(kind) {
--- a/internal/resp/frame_test.go
+++ b/internal/resp/frame_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// TestMissingSizeEndsAtCommand checks, from each place in which a command may be cut, that reading no
-// more than what is missing ends exactly at the command's end.
+// TestMissingSizeEndsAtCommand cuts commands at every position. It checks that reading no more than
+// MissingSize bytes at a time ends exactly at the end of the command.
 func TestMissingSizeEndsAtCommand(t *testing.T) {
 	for name, command := range map[string]string{
-		"get":          string(AppendCommand(nil, VerbGet, "key", "id", "c=read,d=1000")),
-		"set":          string(AppendCommand(nil, VerbSet, "key", "id", "c=put,d=1000", strings.Repeat("v", 12_000))),
-		"empty value":  string(AppendCommand(nil, VerbSet, "key", "id", "c=put,d=1000", "")),
-		"ping":         string(AppendCommand(nil, VerbPing)),
-		"inline":       "PING\r\n",
-		"many element": "*12\r\n" + strings.Repeat("$1\r\na\r\n", 12),
+		"get":         string(AppendCommand(nil, VerbGet, "key", "id", "c=read,d=1000")),
+		"set":         string(AppendCommand(nil, VerbSet, "key", "id", "c=put,d=1000", strings.Repeat("v", 12_000))),
+		"empty value": string(AppendCommand(nil, VerbSet, "key", "id", "c=put,d=1000", "")),
+		"ping":        string(AppendCommand(nil, VerbPing)),
+		"inline":      "PING\r\n",
+		"12 elements": "*12\r\n" + strings.Repeat("$1\r\na\r\n", 12),
 	} {
 		for cut := 1; cut < len(command); cut++ {
 			received := cut
@@ -24,7 +24,7 @@
 				}
 				missing := MissingSize([]byte(command[:received]))
 				if missing < 1 || received+missing > len(command) {
-					t.Fatalf("%s: %d bytes are missing behind %d of %d", name, missing, received, len(command))
+					t.Fatalf("%s: got %d missing bytes after %d of %d", name, missing, received, len(command))
 				}
 				if reads > 100 {
 					t.Fatalf("%s: more than %d reads", name, reads)
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestMissingSizeOfRubbish checks that bytes which are no command are read on one by one.
+// TestMissingSizeOfRubbish checks that the result stays small for bytes that are not a valid command, also where
+// computing it from their lengths would overflow.
 func TestMissingSizeOfRubbish(t *testing.T) {
 	for _, b := range []string{
 		"*", "*x\r\n", "*2\r\nfoo", "*1\r\n$-1\r\n", "*99999999999999999999\r\n", "\r", "$",
--- a/internal/resp/limits.go
+++ b/internal/resp/limits.go
@@ -1,6 +1,6 @@
 package resp
 
-// Sizes in bytes that the protocol allows.
+// Size limits of the protocol, in bytes.
 const (
 	// MaxValueSize is the size of the largest value.
 	MaxValueSize = 64 << 10
@@ -8,20 +8,20 @@
 	MaxArgumentSize = 1 << 10
 	// MaxCommandSize is the size of the largest command on the wire.
 	MaxCommandSize = MaxValueSize + 4<<10
-	// MaxLineLength is the length of the longest line of a reply, without its end.
+	// MaxLineLength is the length of the longest line of a reply, without the line end.
 	MaxLineLength = 512
 
 	maxReplySize = MaxValueSize + 4<<10
 )
 
-// maxArrayElements bounds the array of a reply that has not arrived completely.
+// maxArrayElements limits the number of elements of an array in an incomplete reply.
 const maxArrayElements = 16
 
-// maxNesting bounds the arrays within each other in a reply that has not arrived completely. Proper
-// replies have one.
+// maxNesting limits the nesting depth of arrays in an incomplete reply. Valid replies have a depth of
+// at most 1.
 const maxNesting = 4
 
-// minReadSize is the size in bytes of the first buffer for a reply.
+// minReadSize is the initial size in bytes of the buffer for a reply.
 const minReadSize = 1 << 10
 
 const microsecondsPerMillisecond = 1000
--- a/internal/resp/load.go
+++ b/internal/resp/load.go
@@ -8,15 +8,15 @@
 	"marlstage/policy"
 )
 
-// UnknownUtilization is the utilization in a load report that gives none.
+// UnknownUtilization is the value of LoadReport.Utilization if the report contains no utilization.
 const UnknownUtilization = -1
 
 func unknownLoad() policy.LoadReport {
 	return policy.LoadReport{Utilization: UnknownUtilization}
 }
 
-// parseLoadReport reads a load report, a list of name=value separated by commas. It skips what it
-// doesn't know and what is not a number of 0 or more.
+// parseLoadReport parses a load report, a comma-separated list of name=value. It ignores unknown names
+// and values that are not finite numbers of at least 0.
 func parseLoadReport(text string) policy.LoadReport {
 	load := unknownLoad()
 	for _, field := range strings.Split(text, ",") {
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -10,11 +10,11 @@
 	"github.com/tidwall/redcon"
 )
 
-// ErrMalformedReply reports bytes that are no reply and can't become one.
+// ErrMalformedReply reports bytes that are neither a reply nor the beginning of one.
 var ErrMalformedReply = errors.New("malformed reply")
 
-// ReadReply reads one reply. buf holds what has been read before; rest is what arrived behind the
-// reply.
+// ReadReply reads one reply from buf and then from r. buf contains the bytes that have already been
+// read; rest contains the bytes received after the reply.
 func ReadReply(r io.Reader, buf []byte) (reply *Reply, rest []byte, err error) {
 	for {
 		raw, size, err := nextReply(buf)
@@ -38,11 +38,12 @@
 	}
 }
 
-// nextReply splits the first reply off b. The size is 0 while b holds no complete reply.
+// nextReply decodes the first reply in b and returns its size. The size is 0 as long as b contains no
+// complete reply.
 func nextReply(b []byte) (raw redcon.RESP, size int, err error) {
 	defer func() {
-		// The codec panics on lengths that are out of range; a faulty server must not end the
-		// process.
+		// redcon panics on lengths that are out of range. A faulty server must not be able to
+		// terminate the process that way.
 		if recover() != nil {
 			raw, size, err = redcon.RESP{}, 0, ErrMalformedReply
 		}
@@ -51,15 +52,15 @@
 	if size > 0 || len(b) == 0 {
 		return raw, size, nil
 	}
-	// The codec doesn't tell what is malformed from what is incomplete; without this check the
+	// redcon does not distinguish malformed replies from incomplete ones. Without this check the
 	// reader would wait for the rest of a malformed reply.
 	return redcon.RESP{}, 0, checkIncomplete(b)
 }
 
 var lineEnd = []byte("\r\n")
 
-// checkIncomplete returns ErrMalformedReply unless b, which holds no complete reply, may be the
-// beginning of one. It looks at the first element that is not complete.
+// checkIncomplete returns ErrMalformedReply unless b, which contains no complete reply, may be the
+// beginning of one. It checks the first incomplete element.
 func checkIncomplete(b []byte) error {
 	nesting := 0
 	for elements := 1; elements > 0 && len(b) > 0; elements-- {
@@ -83,13 +84,13 @@
 		if length > maxArrayElements || nesting > maxNesting {
 			return ErrMalformedReply
 		}
-		elements = length + 1 // the array itself included
+		elements = length + 1 // the loop subtracts 1 for the array itself
 		b = body
 	}
 	return nil
 }
 
-// checkIncompleteLine checks a line whose end has not arrived.
+// checkIncompleteLine checks a line whose end has not been received.
 func checkIncompleteLine(kind redcon.Type, line []byte) error {
 	switch kind {
 	case redcon.Bulk, redcon.Array, redcon.String, redcon.Error, redcon.Integer:
@@ -102,8 +103,9 @@
 	return nil
 }
 
-// parseLength reads the length in the header of a bulk string or an array. The header of any other
-// element is all of it, so a complete one that the codec didn't take is malformed.
+// parseLength parses the length in the header of a bulk string or an array. Elements of all other types
+// consist of one line only. If redcon did not decode such an element although its line is complete, the
+// element is malformed.
 func parseLength(kind redcon.Type, header []byte) (int, error) {
 	if kind != redcon.Bulk && kind != redcon.Array {
 		return 0, ErrMalformedReply
@@ -115,25 +117,26 @@
 	return length, nil
 }
 
-// checkIncompleteBulk checks the body of a bulk string that the codec didn't take.
+// checkIncompleteBulk checks the body of a bulk string that redcon did not decode.
 func checkIncompleteBulk(body []byte, length int) error {
 	if len(body) >= length+len(lineEnd) {
-		return ErrMalformedReply // nothing is missing, so its end is wrong
+		return ErrMalformedReply // the body is complete, so its line end is wrong
 	}
 	return nil
 }
 
-// ReplySizeError reports a reply that doesn't fit the reader's buffer.
+// ReplySizeError reports a reply that does not fit into the reader's buffer.
 type ReplySizeError struct {
 	Limit int // in bytes
 }
 
 func (e *ReplySizeError) Error() string {
-	return fmt.Sprintf("an answer of more than %d bytes", e.Limit)
+	return fmt.Sprintf("reply exceeds the limit of %d bytes", e.Limit)
 }
 
-// ReadRaw reads one reply into buf without interpreting it. At most one reply may be outstanding:
-// what arrives behind the reply is lost. A malformed reply is taken for an incomplete one.
+// ReadRaw reads one reply into buf without interpreting it. At most one reply may be outstanding,
+// because bytes received after the reply are discarded. ReadRaw does not detect malformed replies; it
+// treats them as incomplete.
 func ReadRaw(r io.Reader, buf []byte) (redcon.RESP, error) {
 	for n := 0; ; {
 		m, err := r.Read(buf[n:])
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -12,30 +12,30 @@
 
 // Reply is a reply of a cache server.
 type Reply struct {
-	Result policy.Result     // what became of a C.GET or C.SET
-	Value  []byte            // of a request that was served: a bulk string as on the wire
-	Miss   bool              // the value was not cached
-	Pong   bool              // the reply to PING
-	Error  bool              // an error reply, which any command may get
-	Load   policy.LoadReport // of the server
+	Result policy.Result     // result of a C.GET or C.SET
+	Value  []byte            // value if the result is Served: a bulk string as on the wire
+	Miss   bool              // whether the value was not cached
+	Pong   bool              // whether this is the reply to PING
+	Error  bool              // whether this is an error reply, which any command may get
+	Load   policy.LoadReport // load report of the server
 }
 
-// Elements of the array that replies to a request that was served.
+// Indexes of the elements in the array that replies to a served request, and their number.
 const (
-	valueElement = iota // or the receipt of a C.SET
+	valueElement = iota // the value of a C.GET or the acknowledgement of a C.SET
 	cacheStatusElement
 	loadElement
 	servedElements
 )
 
-// Cache statuses of a value that was not cached.
+// Values of the cache status element for a value that was not cached.
 const (
 	statusMiss    = "miss"
 	statusPending = "pending"
 )
 
-// parseReply interprets a reply by the protocol's table. What the table doesn't hold is a server
-// error, as the request may have been executed.
+// parseReply interprets a reply. A reply that the protocol does not define is a server error, because
+// the request may have been executed.
 func parseReply(raw redcon.RESP) *Reply {
 	reply := &Reply{
 		Result: policy.ServerError,
@@ -71,7 +71,8 @@
 	r.Load = parseLoadReport(string(elements[loadElement].Data))
 }
 
-// parseError interprets an error reply: a code, a text, and perhaps a load report as the last word.
+// parseError interprets an error reply. It consists of a code and an optional text, whose last word may
+// be a load report.
 func (r *Reply) parseError(text string) {
 	words := strings.Fields(text)
 	if len(words) > 0 && words[0] == BusyCode {
@@ -82,9 +83,8 @@
 	}
 }
 
-// isServed reports whether an array has exactly the form of a reply to a request that was served.
-// Anything looser would let a faulty server's array that merely begins with a string pass for a
-// value.
+// isServed reports whether an array has exactly the form of a reply to a served request. With a less
+// strict check, any array of a faulty server that begins with a string would be taken for a value.
 func isServed(elements []redcon.RESP) bool {
 	if len(elements) != servedElements || isNull(elements[valueElement]) {
 		return false
@@ -100,8 +100,8 @@
 // nullBulk is the null bulk string.
 const nullBulk = "$-1\r\n"
 
-// hasProperLength reports whether the length of a bulk string has the form that RESP gives it. The
-// codec takes a sign and leading zeros, too, and any negative number for null.
+// hasProperLength reports whether the length of a bulk string is written as RESP specifies. redcon also
+// accepts a sign and leading zeros, and it accepts any negative number for the null bulk string.
 func hasProperLength(element redcon.RESP) bool {
 	if isNull(element) {
 		return string(element.Raw) == nullBulk
@@ -109,14 +109,14 @@
 	return hasHeader(element, len(element.Data))
 }
 
-// hasHeader reports whether an element begins with its type and the given length.
+// hasHeader reports whether the encoded element begins with its type and the given length.
 func hasHeader(element redcon.RESP, length int) bool {
 	header := strconv.AppendInt([]byte{byte(element.Type)}, int64(length), 10)
 	return bytes.HasPrefix(element.Raw, append(header, lineEnd...))
 }
 
-// isNull reports whether an element is the null bulk string, "$-1\r\n". The codec reads it as an
-// empty one.
+// isNull reports whether an element has a negative length, as the null bulk string "$-1\r\n" has. redcon
+// decodes it as an empty string.
 func isNull(element redcon.RESP) bool {
 	return len(element.Raw) > 1 && element.Raw[1] == '-'
 }
--- a/internal/resp/strict_reply_test.go
+++ b/internal/resp/strict_reply_test.go
@@ -10,8 +10,8 @@
 	"marlstage/policy"
 )
 
-// TestUnusualLengthsAreNotServed checks that an array with lengths in other forms than RESP has them
-// is not taken for a reply that serves a request.
+// TestUnusualLengthsAreNotServed guards against accepting an array as the reply to a served request although its
+// lengths are not written as RESP specifies. redcon accepts a sign, leading zeros and any negative length.
 func TestUnusualLengthsAreNotServed(t *testing.T) {
 	for _, wire := range []string{
 		"*+3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
@@ -35,17 +35,17 @@
 	}
 }
 
-// TestDeeplyNestedReply checks that a reply is malformed as soon as it nests arrays deeper than any
-// reply does, so that a faulty server can't take the router's time with an endless one.
+// TestDeeplyNestedReply guards against a faulty server that occupies the router with an endless nested array.
+// A reply is malformed as soon as its nesting exceeds the limit.
 func TestDeeplyNestedReply(t *testing.T) {
 	nested := strings.NewReader(strings.Repeat("*1\r\n", maxReplySize/4))
 	if _, _, err := ReadReply(iotest.OneByteReader(nested), nil); !errors.Is(err, ErrMalformedReply) {
 		t.Errorf("error %v", err)
 	}
 	if read := nested.Size() - int64(nested.Len()); read > minReadSize {
-		t.Errorf("%d bytes were read of it", read)
+		t.Errorf("%d bytes of the reply were read, want at most %d", read, minReadSize)
 	}
 	if _, _, err := ReadReply(strings.NewReader("*2\r\n*1\r\n*1\r\n"), nil); !errors.Is(err, io.EOF) {
-		t.Errorf("a reply that is cut off: error %v", err)
+		t.Errorf("a truncated reply: error %v", err)
 	}
 }
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -8,8 +8,8 @@
 	"marlstage/policy"
 )
 
-// BusyCode is the code of the error reply that rejects a request: it has not been executed and may
-// be retried.
+// BusyCode is the code of the error reply that rejects a request. A rejected request has not been
+// executed and may be retried.
 const BusyCode = "BUSY"
 
 // pong is the text of the reply to PING.
@@ -17,7 +17,7 @@
 
 // Complete replies as on the wire.
 const (
-	// BusyReply rejects a request without a time to retry after.
+	// BusyReply rejects a request without a Retry-After time.
 	BusyReply = "-" + BusyCode + "\r\n"
 	// FailedReply reports a request that failed and may have been executed.
 	FailedReply = "-ERR failed\r\n"
@@ -27,8 +27,8 @@
 	OKReply = "+OK\r\n"
 )
 
-// AppendBusy appends a reply that rejects a request. The client may retry after the given time,
-// which is rounded up so that it doesn't come back early; 0 gives it no time.
+// AppendBusy appends a reply that rejects a request. If retryAfter is not 0, the reply tells the client
+// when it may retry. The time is rounded up to milliseconds so that the client does not retry too early.
 func AppendBusy(b []byte, retryAfter policy.Time) []byte {
 	b = append(b, '-')
 	b = append(b, BusyCode...)
@@ -40,7 +40,7 @@
 	return append(b, lineEnd...)
 }
 
-// AppendError appends an error reply with the general code ERR.
+// AppendError appends an error reply with the generic code ERR.
 func AppendError(b []byte, text string) []byte {
 	return redcon.AppendError(b, "ERR "+text)
 }
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -13,26 +13,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// hangupEvents show that the peer has closed its side of a connection or that the connection is broken.
+// hangupEvents are the poll events for a peer that has closed its side of the connection and for a broken
+// connection.
 const hangupEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
-// maxInterrupts bounds how often a system call is repeated at once that a signal has interrupted.
+// maxInterrupts limits how often a system call that a signal has interrupted is retried immediately.
 const maxInterrupts = 100
 
-// Conn is a TCP connection. Its methods may be called from several goroutines.
+// Conn is a TCP connection. Its methods may be called concurrently.
 type Conn struct {
 	tcp    *net.TCPConn
 	raw    syscall.RawConn
 	system System
 }
 
-// NotTCPError reports a connection that is no TCP connection.
+// NotTCPError reports a connection that is not a TCP connection.
 type NotTCPError struct{ Conn net.Conn }
 
-// Error names the connection's type.
-func (e *NotTCPError) Error() string { return fmt.Sprintf("%T is no TCP connection", e.Conn) }
+// Error describes the connection by its Go type.
+func (e *NotTCPError) Error() string { return fmt.Sprintf("%T is not a TCP connection", e.Conn) }
 
-// NewConn wraps a connection. If it fails, it has closed the connection.
+// NewConn wraps a TCP connection. If it returns an error, it has closed the connection.
 func NewConn(nc net.Conn, system System) (*Conn, error) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -47,7 +48,7 @@
 	return &Conn{tcp: tcp, raw: raw, system: system}, nil
 }
 
-// Accept waits for the next connection of a listener.
+// Accept waits for the next connection on a listener.
 func Accept(system System, listener net.Listener) (*Conn, error) {
 	nc, err := system.Accept(listener)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return NewConn(nc, system)
 }
 
-// Dial connects to an address, within the timeout.
+// Dial connects to an address. It fails if that takes longer than the timeout.
 func Dial(system System, addr string, timeout time.Duration) (*Conn, error) {
 	nc, err := system.Dial(addr, timeout)
 	if err != nil {
@@ -65,14 +66,15 @@
 	return NewConn(nc, system)
 }
 
-// Read implements io.Reader. It waits until something has arrived or the read deadline has passed.
+// Read implements io.Reader. It waits until data has been received or the read deadline has passed.
 func (c *Conn) Read(b []byte) (int, error) {
 	return c.readWith(func(fd int) (int, error) { return c.readNow(fd, b) })
 }
 
-// ReadWhile is like Read, but reads nothing once it is no longer allowed, also where bytes have arrived in
-// the moment in which a deadline interrupted it: the system then wakes it for either. It returns
-// os.ErrDeadlineExceeded.
+// ReadWhile is like Read, but calls allowed before each attempt to read from the socket. If allowed returns
+// false, it reads nothing and returns os.ErrDeadlineExceeded. A read deadline alone does not ensure that
+// nothing is read after it: if data is received at the moment when the deadline passes, the pending read may
+// wake up for either.
 func (c *Conn) ReadWhile(b []byte, allowed func() bool) (int, error) {
 	return c.readWith(func(fd int) (int, error) {
 		if !allowed() {
@@ -82,8 +84,8 @@
 	})
 }
 
-// ReadLocked reads like Read. It holds the lock while it reads from the socket, and calls received
-// before it releases the lock if bytes have arrived.
+// ReadLocked is like Read, but holds the lock while it reads from the socket. If it has read any bytes, it
+// calls received before it releases the lock. It does not hold the lock while it waits for data.
 func (c *Conn) ReadLocked(b []byte, lock sync.Locker, received func()) (int, error) {
 	return c.readWith(func(fd int) (int, error) {
 		lock.Lock()
@@ -96,7 +98,7 @@
 	})
 }
 
-// readWith waits until read, which does not wait, has read something or failed for good.
+// readWith calls the non-blocking function read until it has read data or failed permanently.
 func (c *Conn) readWith(read func(fd int) (int, error)) (n int, err error) {
 	var backoff transientBackoff
 	for {
@@ -107,7 +109,8 @@
 	}
 }
 
-// readOnceReady waits until read, which does not wait, has read something or failed.
+// readOnceReady calls the non-blocking function read whenever the socket is readable, until it has read data
+// or failed. It returns io.EOF at the end of the stream.
 func (c *Conn) readOnceReady(read func(fd int) (int, error)) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) (done bool) {
 		n, err = read(int(fd))
@@ -124,8 +127,8 @@
 	return n, nil
 }
 
-// ReadArrived reads what has arrived, without waiting for more and whatever the read deadline is. It
-// returns neither bytes nor an error if nothing has arrived.
+// ReadArrived reads bytes that have been received, without blocking and regardless of the read deadline. It
+// returns 0 and no error if there are none.
 func (c *Conn) ReadArrived(b []byte) (n int, err error) {
 	var backoff transientBackoff
 	for {
@@ -143,7 +146,7 @@
 	}
 }
 
-// readNow reads what has arrived, without waiting.
+// readNow reads received bytes without blocking.
 func (c *Conn) readNow(fd int, b []byte) (n int, err error) {
 	err = retryInterrupted(func() error {
 		n, err = c.system.Read(fd, b)
@@ -152,7 +155,7 @@
 	return max(n, 0), err
 }
 
-// Write implements io.Writer. It waits until all is written or the write deadline has passed.
+// Write implements io.Writer. It waits until all bytes are written or the write deadline has passed.
 func (c *Conn) Write(b []byte) (int, error) {
 	written := 0
 	var backoff transientBackoff
@@ -165,7 +168,7 @@
 	}
 }
 
-// writeUntilError writes until all is written, a write fails, or the write deadline has passed.
+// writeUntilError writes until all bytes are written, a write fails or the write deadline has passed.
 func (c *Conn) writeUntilError(b []byte) (written int, err error) {
 	waitErr := c.raw.Write(func(fd uintptr) (done bool) {
 		for written < len(b) && err == nil {
@@ -182,7 +185,8 @@
 	return written, errors.Join(waitErr, err)
 }
 
-// TryWrite writes what the socket takes, without waiting.
+// TryWrite writes as much as fits into the send buffer, without blocking. It returns 0 and no error if the
+// buffer is full.
 func (c *Conn) TryWrite(b []byte) (n int, err error) {
 	waitErr := c.raw.Write(func(fd uintptr) (done bool) {
 		n, err = c.writeNow(int(fd), b)
@@ -194,7 +198,7 @@
 	return n, errors.Join(waitErr, err)
 }
 
-// writeNow writes as much as the socket takes, without waiting.
+// writeNow writes as much as fits into the send buffer, without blocking.
 func (c *Conn) writeNow(fd int, b []byte) (n int, err error) {
 	err = retryInterrupted(func() error {
 		n, err = c.system.Write(fd, b)
@@ -203,8 +207,8 @@
 	return max(n, 0), err
 }
 
-// IsSilent reports whether neither bytes nor the end of the connection have arrived that are not
-// read yet. It fails if that cannot be told for a moment.
+// IsSilent reports whether there is nothing to read: neither unread bytes nor the end of the stream. If the
+// query failed, it returns false, and also the error if that is transient.
 func (c *Conn) IsSilent() (bool, error) {
 	_, err := c.peek()
 	switch {
@@ -217,19 +221,20 @@
 	}
 }
 
-// HasUnread reports whether bytes have been received that are not read yet, or that cannot be told.
+// HasUnread reports whether there are unread bytes. It also returns true if the query failed.
 func (c *Conn) HasUnread() bool {
 	n, err := c.peek()
 	return n > 0 || err != nil && !errors.Is(err, syscall.EAGAIN)
 }
 
-// HasBytes reports whether bytes are known to have been received that are not read yet.
+// HasBytes reports whether there are unread bytes. It returns false if the query failed.
 func (c *Conn) HasBytes() bool {
 	n, err := c.peek()
 	return err == nil && n > 0
 }
 
-// peek looks for a byte that has arrived, without reading it.
+// peek returns 1 if there is an unread byte, without reading it, and 0 at the end of the stream. If there is
+// nothing to read, it returns EAGAIN.
 func (c *Conn) peek() (n int, err error) {
 	controlErr := c.raw.Control(func(fd uintptr) {
 		err = retryInterrupted(func() error {
@@ -240,8 +245,8 @@
 	return n, errors.Join(controlErr, err)
 }
 
-// HasUnacknowledged reports whether the peer's machine has yet to acknowledge some of what was
-// written, or that cannot be told.
+// HasUnacknowledged reports whether the peer's machine has not acknowledged all written bytes. It also
+// returns true if the query failed.
 func (c *Conn) HasUnacknowledged() bool {
 	n := 0
 	var queryErr error
@@ -254,7 +259,7 @@
 	return errors.Join(err, queryErr) != nil || n > 0
 }
 
-// LastDataAge returns how long ago the last bytes arrived, whether they have been read or not.
+// LastDataAge returns how long ago the last bytes were received, whether they have been read or not.
 func (c *Conn) LastDataAge() (age time.Duration, err error) {
 	controlErr := c.raw.Control(func(fd uintptr) {
 		age, err = c.system.LastDataAge(int(fd))
@@ -262,13 +267,13 @@
 	return age, errors.Join(controlErr, err)
 }
 
-// Peer is what a socket shows of its peer.
+// Peer is the state of the peer as far as the socket shows it.
 type Peer struct {
-	HungUp  bool // it has closed its side of the connection or reset it
-	HasSent bool // bytes of it are unread; its end may be hidden behind them
+	HungUp  bool // the peer has closed its side of the connection or reset it
+	HasSent bool // there is something to read; the end of the stream may follow unread bytes
 }
 
-// LookAtPeer returns what the socket shows of the peer. A connection that was closed on this side counts as
+// LookAtPeer returns the state of the peer. If the connection was closed on this side, the peer counts as
 // hung up.
 func (c *Conn) LookAtPeer() (peer Peer, err error) {
 	controlErr := c.raw.Control(func(fd uintptr) { peer, err = c.peerNow(int(fd)) })
@@ -278,13 +283,14 @@
 	return peer, err
 }
 
-// HungUp reports whether the peer has closed its side of the connection or reset it, even if bytes
-// that were sent before are not read yet. It fails if that cannot be told.
+// HungUp reports whether the peer has closed its side of the connection or reset it, even if there are
+// unread bytes that it sent before. It returns an error if the query failed.
 func (c *Conn) HungUp() (hungUp bool, err error) {
 	peer, err := c.LookAtPeer()
 	return peer.HungUp, err
 }
 
+// peerNow queries the state of the peer with poll.
 func (c *Conn) peerNow(fd int) (Peer, error) {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
 	err := retryInterrupted(func() error {
@@ -298,7 +304,7 @@
 	return Peer{HungUp: events&hangupEvents != 0, HasSent: events&unix.POLLIN != 0}, nil
 }
 
-// UnreadBytes returns how many bytes of the peer have arrived and are not read.
+// UnreadBytes returns how many bytes have been received and not yet read.
 func (c *Conn) UnreadBytes() (n int, err error) {
 	controlErr := c.raw.Control(func(fd uintptr) {
 		err = retryInterrupted(func() error {
@@ -309,18 +315,18 @@
 	return n, errors.Join(controlErr, err)
 }
 
-// AwaitHangup waits until the peer has hung up or the read deadline has passed. What arrives meanwhile
-// stays unread.
+// AwaitHangup waits until the peer has hung up or the read deadline has passed. It reads nothing: bytes
+// received in the meantime remain unread.
 func (c *Conn) AwaitHangup() error {
 	return c.await(func(peer Peer) bool { return peer.HungUp })
 }
 
-// AwaitReadable waits until something has arrived, the peer has hung up or the read deadline has passed.
+// AwaitReadable waits until there is something to read, the peer has hung up or the read deadline has passed.
 func (c *Conn) AwaitReadable() error {
 	return c.await(func(peer Peer) bool { return peer.HungUp || peer.HasSent })
 }
 
-// await waits until the condition holds or the read deadline has passed.
+// await waits until the condition holds for the state of the peer or the read deadline has passed.
 func (c *Conn) await(condition func(Peer) bool) error {
 	return c.raw.Read(func(fd uintptr) (done bool) {
 		peer, err := c.peerNow(int(fd))
@@ -328,12 +334,12 @@
 	})
 }
 
-// SetReadDeadline sets the deadline of the pending read and of further ones; zero stands for none.
+// SetReadDeadline sets the deadline of pending and future reads. The zero time means no deadline.
 func (c *Conn) SetReadDeadline(deadline time.Time) {
 	_ = c.tcp.SetReadDeadline(deadline) // fails only on a closed connection, which the read reports
 }
 
-// SetWriteDeadline sets the deadline of the pending write and of further ones; zero stands for none.
+// SetWriteDeadline sets the deadline of pending and future writes. The zero time means no deadline.
 func (c *Conn) SetWriteDeadline(deadline time.Time) {
 	_ = c.tcp.SetWriteDeadline(deadline) // fails only on a closed connection, which the write reports
 }
@@ -341,16 +347,16 @@
 // RemoteAddr returns the address of the peer.
 func (c *Conn) RemoteAddr() net.Addr { return c.tcp.RemoteAddr() }
 
-// CloseWrite ends the sending side of the connection.
+// CloseWrite shuts down the sending side of the connection.
 func (c *Conn) CloseWrite() error { return c.tcp.CloseWrite() }
 
-// Close closes the connection. It may be closed already.
+// Close closes the connection. Closing it again has no effect.
 func (c *Conn) Close() {
-	_ = c.tcp.Close() // nothing can be done about an error on a connection that is given up
+	_ = c.tcp.Close() // the connection is no longer used, so an error has no consequence
 }
 
-// retryInterrupted repeats a system call that a signal has interrupted. If it is interrupted each
-// time, it fails with that.
+// retryInterrupted makes a system call and retries it if a signal interrupts it. After maxInterrupts retries,
+// it returns EINTR.
 func retryInterrupted(call func() error) error {
 	err := call()
 	for range maxInterrupts {
--- a/internal/socket/conn_test.go
+++ b/internal/socket/conn_test.go
@@ -11,16 +11,17 @@
 	"golang.org/x/sys/unix"
 )
 
+// testTimeout limits each wait for an expected condition.
 const testTimeout = 30 * time.Second
 
 // failingSystem fails the next calls of each kind with the errors listed for it.
 type failingSystem struct {
 	Linux
 	poll, peek, unacknowledged []error
-	pollEvents                 int16 // reported by polls in place of what the socket shows, if not 0
+	pollEvents                 int16 // if not 0, Poll reports these events instead of those of the socket
 }
 
-// takeError removes the first of the errors.
+// takeError removes and returns the first of the errors, or returns nil if there are none.
 func takeError(errs *[]error) error {
 	if len(*errs) == 0 {
 		return nil
@@ -55,7 +56,7 @@
 	return s.Linux.UnacknowledgedBytes(fd)
 }
 
-// newPair makes a connection whose calls go through the system, and its peer.
+// newPair returns a connection that makes its system calls through the given system, and the peer's end.
 func newPair(t *testing.T, system System) (*Conn, *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,7 +77,7 @@
 	return conn, peer.(*net.TCPConn)
 }
 
-// send has the peer send a byte and waits until it has arrived.
+// send sends a byte from the peer and waits until the connection has received it.
 func send(t *testing.T, conn *Conn, peer *net.TCPConn) {
 	t.Helper()
 	if _, err := io.WriteString(peer, "x"); err != nil {
@@ -89,7 +90,7 @@
 	})
 }
 
-// await waits until the condition holds.
+// await waits until the condition holds, or fails the test after testTimeout.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// fillSendBuffer writes until the peer, which reads nothing, takes no more.
+// fillSendBuffer writes until the send buffer is full. The peer must not read.
 func fillSendBuffer(t *testing.T, conn *Conn) {
 	t.Helper()
 	for b := make([]byte, 1<<20); ; {
@@ -113,8 +114,8 @@
 	}
 }
 
-// TestLooksAreRepeatedWhenInterrupted checks that a signal does not change what a look at the socket
-// reports.
+// TestLooksAreRepeatedWhenInterrupted guards against a wrong result of a query when a signal interrupts its
+// system call.
 func TestLooksAreRepeatedWhenInterrupted(t *testing.T) {
 	interrupts := []error{syscall.EINTR, syscall.EINTR}
 	t.Run("HungUp", func(t *testing.T) {
@@ -135,7 +136,7 @@
 		send(t, conn, peer)
 		system.peek = interrupts
 		if !conn.HasUnread() {
-			t.Error("a byte is not seen")
+			t.Error("the received byte is not reported")
 		}
 	})
 	t.Run("IsSilent", func(t *testing.T) {
@@ -144,7 +145,7 @@
 		send(t, conn, peer)
 		system.peek = interrupts
 		if silent, err := conn.IsSilent(); silent || err != nil {
-			t.Error("silent, although a byte has arrived")
+			t.Error("silent, although a byte has been received")
 		}
 	})
 	t.Run("HasUnacknowledged", func(t *testing.T) {
@@ -153,19 +154,19 @@
 		fillSendBuffer(t, conn)
 		system.unacknowledged = interrupts
 		if !conn.HasUnacknowledged() {
-			t.Error("all acknowledged, although the peer reads nothing")
+			t.Error("all bytes acknowledged, although the peer reads nothing")
 		}
 	})
 }
 
-// TestFailedLooks checks that a look which fails is never taken for the answer on which a connection
-// is closed or an attempt is written.
+// TestFailedLooks guards against taking a failed query for a result that makes the router close a connection or
+// write an attempt.
 func TestFailedLooks(t *testing.T) {
 	for _, failure := range []error{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINVAL} {
 		t.Run(failure.Error(), func(t *testing.T) {
 			system := &failingSystem{
 				poll:           []error{failure},
-				peek:           []error{failure, failure}, // one for each look
+				peek:           []error{failure, failure}, // one for each query that peeks
 				unacknowledged: []error{failure},
 			}
 			conn, _ := newPair(t, system)
@@ -185,7 +186,7 @@
 	}
 }
 
-// TestBrokenConnectionIsHungUp checks that the end of a connection is seen whichever event shows it.
+// TestBrokenConnectionIsHungUp checks that each poll event for a closed or broken connection is taken for a hangup.
 func TestBrokenConnectionIsHungUp(t *testing.T) {
 	for name, events := range map[string]int16{
 		"error":  unix.POLLERR,
@@ -200,8 +201,8 @@
 	}
 }
 
-// TestInterruptsWithoutEnd checks that a signal for each call ends neither in a loop without end nor in a
-// wrong answer.
+// TestInterruptsWithoutEnd guards against an endless loop or a wrong result when a signal interrupts every
+// attempt of a system call.
 func TestInterruptsWithoutEnd(t *testing.T) {
 	system := &failingSystem{}
 	for range 10 * maxInterrupts {
--- a/internal/socket/listener.go
+++ b/internal/socket/listener.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// HasQueuedConnections reports whether connections wait at a listener to be accepted. It reports true
-// where the system could not tell for a moment, and false for a listener that cannot be asked.
+// HasQueuedConnections reports whether connections are waiting in a listener's accept queue. It returns
+// true if the query failed for lack of memory, and false if it failed otherwise or if the listener has no
+// file descriptor.
 func HasQueuedConnections(system System, listener net.Listener) bool {
 	conn, ok := listener.(syscall.Conn)
 	if !ok {
--- a/internal/socket/system.go
+++ b/internal/socket/system.go
@@ -1,6 +1,6 @@
-// Package socket wraps TCP sockets with the calls that a router needs beside those of package net:
-// writes that do not wait, and looks at what has arrived without reading it. All system calls go
-// through one small interface, so that tests can have them fail in the ways that Linux documents.
+// Package socket wraps TCP sockets with operations that package net lacks: non-blocking reads and
+// writes, and queries about received and unacknowledged data. All system calls go through a small
+// interface so that tests can simulate the errors that Linux documents for them.
 package socket
 
 import (
@@ -11,29 +11,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// System makes the system calls on sockets. Errors are those of the calls; none is repeated.
+// System makes the system calls on sockets. It returns their errors unchanged and retries none of them.
 type System interface {
-	// Accept waits for the next connection of a listener.
+	// Accept waits for the next connection on a listener.
 	Accept(listener net.Listener) (net.Conn, error)
-	// Dial connects to an address, within the timeout.
+	// Dial connects to an address. It fails if that takes longer than the timeout.
 	Dial(addr string, timeout time.Duration) (net.Conn, error)
-	// Read reads what has arrived, without waiting.
+	// Read reads received bytes without blocking.
 	Read(fd int, b []byte) (int, error)
-	// Write writes as much as the socket takes, without waiting.
+	// Write writes as much as fits into the send buffer, without blocking.
 	Write(fd int, b []byte) (int, error)
-	// Peek copies what has arrived without removing it, and without waiting.
+	// Peek copies received bytes without removing them from the receive buffer and without blocking.
 	Peek(fd int, b []byte) (int, error)
-	// Poll looks for events on the descriptors, without waiting.
+	// Poll checks the descriptors for events without blocking.
 	Poll(fds []unix.PollFd) (int, error)
-	// UnacknowledgedBytes returns how many written bytes the peer's machine has yet to acknowledge.
+	// UnacknowledgedBytes returns how many of the written bytes the peer's machine has not acknowledged.
 	UnacknowledgedBytes(fd int) (int, error)
-	// UnreadBytes returns how many bytes have arrived and are not read.
+	// UnreadBytes returns how many bytes have been received and not yet read.
 	UnreadBytes(fd int) (int, error)
-	// LastDataAge returns how long ago the last bytes arrived.
+	// LastDataAge returns how long ago the last bytes were received.
 	LastDataAge(fd int) (time.Duration, error)
 }
 
-// Linux is the operating system itself.
+// Linux implements System with the system calls of Linux.
 type Linux struct{}
 
 var _ System = Linux{}
@@ -41,7 +41,7 @@
 // Accept implements System.
 func (Linux) Accept(listener net.Listener) (net.Conn, error) { return listener.Accept() }
 
-// Dial implements System. The connection has no TCP keep-alive probes.
+// Dial implements System. It disables TCP keep-alive probes on the connection.
 func (Linux) Dial(addr string, timeout time.Duration) (net.Conn, error) {
 	return (&net.Dialer{Timeout: timeout, KeepAlive: -1}).Dial("tcp", addr)
 }
--- a/internal/socket/transient.go
+++ b/internal/socket/transient.go
@@ -9,23 +9,24 @@
 const (
 	minTransientBackoff = time.Millisecond
 	maxTransientBackoff = 20 * time.Millisecond
-	transientTimeout    = 5 * time.Second // after which a transient error is taken for a lasting one
+	transientTimeout    = 5 * time.Second // after this, a transient error is treated as permanent
 )
 
-// IsTransient reports whether a read or write failed for want of memory or by a signal, which says
-// nothing about the connection.
+// IsTransient reports whether a system call failed for lack of memory or because of a signal. Such an
+// error does not mean that the connection is broken.
 func IsTransient(err error) bool {
 	return errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EINTR)
 }
 
-// transientBackoff waits between the repetitions of a call that fails with transient errors. The zero
-// value is ready for use.
+// transientBackoff schedules the retries of a call that fails with transient errors. The zero value is
+// ready for use.
 type transientBackoff struct {
 	delay time.Duration
-	until time.Time // set at the first error
+	until time.Time // when to stop retrying; set at the first error
 }
 
-// wait reports whether the call is to be repeated, after a wait.
+// wait reports whether to retry a call that returned err. Before it returns true, it waits for the
+// backoff delay.
 func (b *transientBackoff) wait(err error) bool {
 	if !IsTransient(err) {
 		return false
