--- a/internal/callback/callback.go
+++ b/internal/callback/callback.go
@@ -1,13 +1,14 @@
-// Package callback keeps functions that are called once, by a token that its owner passes through others.
+// Package callback provides a registry of functions that are called once. Each function has an integer token,
+// so that code which can store only a number can refer to it.
 package callback
 
-// Registry holds functions by token. The zero value is empty.
+// Registry maps tokens to functions that have not been called yet. The zero value is empty and ready for use.
 type Registry struct {
 	functions map[int64]func()
-	last      int64
+	last      int64 // the token assigned last
 }
 
-// Add keeps a function and returns its token. Tokens ascend from 1.
+// Add registers a function and returns its token. Tokens are assigned in ascending order from 1.
 func (r *Registry) Add(function func()) int64 {
 	if r.functions == nil {
 		r.functions = map[int64]func(){}
@@ -17,7 +18,7 @@
 	return r.last
 }
 
-// Call calls the function of the token and forgets it. An unknown token is ignored.
+// Call removes the function registered under the token and calls it. An unknown token is ignored.
 func (r *Registry) Call(token int64) {
 	if function := r.functions[token]; function != nil {
 		delete(r.functions, token)
--- a/internal/callback/callback_test.go
+++ b/internal/callback/callback_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestEachFunctionIsCalledOnce guards against a function that is called again when its token is used twice,
+// also while another function is being called.
 func TestEachFunctionIsCalledOnce(t *testing.T) {
 	var registry Registry
 	calls := map[string]int{}
@@ -23,6 +25,6 @@
 		}
 	}
 	if len(registry.functions) != 0 {
-		t.Errorf("%d functions are kept after their calls", len(registry.functions))
+		t.Errorf("%d functions are still registered after their calls", len(registry.functions))
 	}
 }
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -18,7 +18,8 @@
 	passedPolicy = "ok  \tmarlstage/policy\t7.2s\n"
 )
 
-// Only a listed test with its listed message is passed over.
+// TestKnownRed checks that the script .ci/known-red accepts a failed run only if every failure is a listed
+// test with its listed message.
 func TestKnownRed(t *testing.T) {
 	for name, c := range map[string]struct {
 		list, log string
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,24 +20,24 @@
 	Discovery string // address of the discovery service
 	Seed      uint64 // of the policy's random choices
 	Limits    Limits
-	Known     discovery.EndpointList // last known list, may be out of date
+	Known     discovery.EndpointList // last known list, possibly out of date
 	Settings  policy.Settings
 	Transport settings.Transport
 }
 
-// Transport settings for what the configuration leaves out, in microseconds.
+// Defaults of the transport settings, in microseconds.
 const (
 	defaultDialTimeout policy.Time = 250_000
 	defaultKeepalive   policy.Time = 15_000_000
 )
 
-// FieldError reports a field of the configuration that is wrong.
+// FieldError reports an invalid field of the configuration.
 type FieldError struct {
 	Field  string // path of the field
 	Reason error
 }
 
-// Error names the field and the reason, in one line.
+// Error returns the field's path and the reason in one line.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason.Error() }
 
 // Unwrap returns the reason.
@@ -54,8 +54,8 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Parse reads a configuration and fills in its defaults. A wrong field is
-// reported as a *FieldError.
+// Parse reads a configuration and fills in its defaults. It reports an invalid
+// field as a *FieldError.
 func Parse(raw []byte) (*Config, error) {
 	var doc document
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -69,7 +69,8 @@
 	return cfg, nil
 }
 
-// decodeError turns an error of the JSON decoder into one that names the field.
+// decodeError converts an error of the JSON decoder. A value of the wrong JSON
+// type becomes a *FieldError.
 func decodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
@@ -79,7 +80,7 @@
 	return fmt.Errorf("not JSON: %w", err)
 }
 
-// config checks the fields and converts them.
+// config validates the document and converts it.
 func (d *document) config() (*Config, error) {
 	if err := checkAddress("listen", d.Listen); err != nil {
 		return nil, err
@@ -114,7 +115,8 @@
 	}, nil
 }
 
-// checkAddress reports an address that is not an IP address with a port.
+// checkAddress returns a *FieldError for an address that is not an IP address
+// with a port.
 func checkAddress(field, addr string) error {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		return &FieldError{Field: field, Reason: err}
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// parseSeed reads a hexadecimal seed. It is 0 where the configuration names none.
+// parseSeed parses a hexadecimal seed. An empty text stands for the seed 0.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -134,7 +136,8 @@
 	return seed, nil
 }
 
-// parseKnown reads the last known endpoint list, which may be left out.
+// parseKnown parses the last known endpoint list. If the configuration has none,
+// the list is empty and its version is discovery.NoVersion.
 func parseKnown(raw json.RawMessage) (discovery.EndpointList, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return discovery.EndpointList{Version: discovery.NoVersion}, nil
@@ -146,7 +149,7 @@
 	return list, nil
 }
 
-// setDefaults fills in what the configuration left out.
+// setDefaults sets the fields that the configuration omits.
 func (c *Config) setDefaults() {
 	c.Limits.setDefaults()
 	if c.Transport.DialTimeout <= 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestParseErrorNamesField in one line.
+// TestParseErrorNamesField checks that the error for an invalid field names the field and takes one line.
 func TestParseErrorNamesField(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"here"`, "listen"},
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestParseErrorIsFieldError, whether the JSON type is wrong or the value.
+// TestParseErrorIsFieldError checks that a wrong JSON type and an invalid value are both reported as a *FieldError.
 func TestParseErrorIsFieldError(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":5`, "listen"},
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,30 +7,30 @@
 	"runtime/debug"
 )
 
-// MinSockets is the least number of descriptors that a router works with.
+// MinSockets is the smallest number of file descriptors with which a router works.
 const MinSockets = 64
 
-// Limits for what the configuration leaves out.
+// Defaults of the limits.
 const (
 	defaultSockets  = 1024
 	defaultMemoryMB = 192
 )
 
-// Limits are the limits of the router's machine.
+// Limits holds the resources of the machine that the router may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // descriptors
+	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// errOutOfRange is the reason of a FieldError for a limit that cannot hold.
+// errOutOfRange is the reason in a FieldError for an invalid limit.
 var errOutOfRange = errors.New("out of range")
 
-// validate reports the first limit that is out of range. Zero stands for a
-// limit that was left out.
+// validate returns a *FieldError for the first limit that is out of range. Zero
+// stands for a limit that the configuration omits.
 func (l Limits) validate() error {
 	switch {
-	case !(l.Cores >= 0): // also not a number
+	case !(l.Cores >= 0): // also true for NaN
 		return &FieldError{Field: "limits.cores", Reason: errOutOfRange}
 	case l.MemoryMB < 0:
 		return &FieldError{Field: "limits.memory_mb", Reason: errOutOfRange}
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// setDefaults fills in the limits that were left out.
+// setDefaults sets the limits that the configuration omits. An omitted number of
+// cores stays 0, for which Apply uses one.
 func (l *Limits) setDefaults() {
 	if l.Sockets == 0 {
 		l.Sockets = defaultSockets
@@ -50,8 +51,9 @@
 	}
 }
 
-// Apply sets the limits of the Go runtime. A quarter of the memory is left to
-// what the runtime does not count.
+// Apply configures the Go runtime for the limits. Its memory limit is three
+// quarters of the memory; the rest is for memory that the runtime does not
+// count.
 func (l Limits) Apply() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	debug.SetMemoryLimit(l.MemoryMB << 20 * 3 / 4)
--- a/internal/partialsort/lowest.go
+++ b/internal/partialsort/lowest.go
@@ -1,5 +1,5 @@
-// Package partialsort keeps the elements of the lowest scores among many, in order: of a large set often no
-// more than the first few are needed.
+// Package partialsort selects the elements with the lowest scores of a large set, in ascending order, without
+// sorting all of it.
 package partialsort
 
 import (
@@ -7,22 +7,22 @@
 	"slices"
 )
 
-// Lowest keeps the elements of the lowest scores that it was given. Elements of equal scores rank in the
-// order in which they were given. The zero value keeps none; see Reset.
+// Lowest keeps the elements with the lowest scores among those added. Elements with equal scores rank in the
+// order in which they were added. The zero value has a capacity of 0 and keeps none; Reset sets the capacity.
 type Lowest[E any] struct {
 	elements []E
 	scores   []float64 // of the elements, ascending
 	capacity int
 }
 
-// Reset forgets all elements and has the given number kept from now on. It keeps the memory.
+// Reset removes all elements and sets how many are kept from now on. The allocated memory is reused.
 func (l *Lowest[E]) Reset(capacity int) {
 	clear(l.elements)
 	l.elements, l.scores = l.elements[:0], l.scores[:0]
 	l.capacity = capacity
 }
 
-// Limit returns the score from which on an element would not be kept.
+// Limit returns the lowest score that Add would reject.
 func (l *Lowest[E]) Limit() float64 {
 	switch {
 	case l.capacity <= 0:
@@ -34,7 +34,8 @@
 	}
 }
 
-// Add keeps an element, instead of the one of the highest score if need be, and reports whether it did.
+// Add inserts an element if its score is below Limit, and reports whether it did. At full capacity, the
+// element with the highest score is dropped.
 func (l *Lowest[E]) Add(element E, score float64) bool {
 	if score >= l.Limit() {
 		return false
@@ -53,9 +54,9 @@
 	return true
 }
 
-// Elements returns the elements that are kept, the one of the lowest score first. The slice is valid until
-// the next call of Add or Reset.
+// Elements returns the kept elements in ascending order of score. The slice is valid until the next call of
+// Add or Reset.
 func (l *Lowest[E]) Elements() []E { return l.elements }
 
-// Score returns the score of the element of a rank, from 0.
+// Score returns the score of the element with the given rank, counted from 0.
 func (l *Lowest[E]) Score(rank int) float64 { return l.scores[rank] }
--- a/internal/partialsort/lowest_test.go
+++ b/internal/partialsort/lowest_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestLowestMatchesSort compares with a stable sort of all elements.
+// TestLowestMatchesSort compares the result with a stable sort of all elements, for random scores and capacities.
 func TestLowestMatchesSort(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var lowest Lowest[int]
@@ -43,7 +43,7 @@
 		for i, score := range scores {
 			keeps := score < lowest.Limit()
 			if lowest.Add(i, score) != keeps {
-				t.Fatalf("score %v: kept %v below the limit, or the other way round", score, !keeps)
+				t.Fatalf("score %v: Add returned %t, but the limit implies %t", score, !keeps, keeps)
 			}
 		}
 		if !slices.Equal(lowest.Elements(), want) {
--- a/internal/policylimit/policylimit_test.go
+++ b/internal/policylimit/policylimit_test.go
@@ -1,5 +1,5 @@
-// Package policylimit tests what the operators ask of the policy files: that the deploy file names them
-// all, that their lines are short, and that the interface files decide nothing.
+// Package policylimit tests the operators' requirements for the policy files: the deploy file lists all of
+// them, their lines are short, and the interface files contain no decisions.
 package policylimit
 
 import (
@@ -18,7 +18,8 @@
 
 const maxLineWidth = 110 // characters
 
-// violations describes each violation of a limit by the named files with the given texts.
+// violations returns a description of each line that is too long in the named files. It also reports if the
+// files have no lines other than blank ones.
 func violations(names []string, texts map[string]string) []string {
 	var found []string
 	nonBlank := 0
@@ -43,7 +44,7 @@
 	quoted    = regexp.MustCompile(`"([^"]+)"`)
 )
 
-// policyFiles reads the names of the policy files from the text of the deploy file.
+// policyFiles returns the names of the policy files that the text of the deploy file lists.
 func policyFiles(deploy string) []string {
 	var names []string
 	if m := policyKey.FindStringSubmatch(deploy); m != nil {
@@ -54,12 +55,12 @@
 	return names
 }
 
-// interfaceFiles are the files of the package policy that declare its interface and decide nothing. They are
-// named one by one, so that a new file counts as part of the policy unless this list says otherwise.
+// interfaceFiles are the files of the package policy that declare its interface and contain no decisions. The
+// list is explicit so that a new file counts as a policy file by default.
 var interfaceFiles = []string{"actions.go", "api.go", "events.go", "settings.go"}
 
-// packageFiles names the files of package policy, in order, without its interface and its tests: no decision may
-// be made outside the policy files.
+// packageFiles returns the sorted names of the files of package policy, except interface files and tests.
+// The deploy file has to list all of them, as no decision may be made outside the policy files.
 func packageFiles(root string) ([]string, error) {
 	for _, name := range interfaceFiles {
 		if _, err := os.Stat(filepath.Join(root, "policy", name)); err != nil {
@@ -80,6 +81,7 @@
 	return names, nil
 }
 
+// TestPolicyFilesKeepLimits checks that the deploy file lists every policy file and that no line is too long.
 func TestPolicyFilesKeepLimits(t *testing.T) {
 	root := filepath.Join("..", "..")
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
@@ -92,7 +94,7 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(names, want) {
-		t.Errorf("policy files are %v, want all of the package but its interface: %v", names, want)
+		t.Errorf("the deploy file lists the policy files %v, want all files except the interface files: %v", names, want)
 	}
 	texts := map[string]string{}
 	for _, n := range names {
@@ -123,7 +125,8 @@
 	}
 }
 
-// The interface files must not refer to the engine's state, which is what decisions are made from.
+// TestInterfaceFilesDecideNothing checks that the interface files do not refer to the engine's state. Code
+// that makes decisions needs that state.
 func TestInterfaceFilesDecideNothing(t *testing.T) {
 	root := filepath.Join("..", "..")
 	for _, name := range interfaceFiles {
@@ -137,7 +140,7 @@
 	}
 }
 
-// stateUses names the types of the engine's state that a file refers to.
+// stateUses returns the names of the engine's state types that a file refers to, once for each reference.
 func stateUses(file *ast.File) []string {
 	state := []string{"Engine", "attempt", "cache", "outcome", "request"}
 	var uses []string
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -2,7 +2,7 @@
 
 import "marlstage/policy"
 
-// document is the JSON form of the settings. Unknown keys are skipped.
+// document is the JSON form of the settings. Unknown keys are ignored.
 type document struct {
 	Routers   int               `json:"instances"`
 	Discovery string            `json:"discovery"`
@@ -13,7 +13,7 @@
 	Penalties penaltiesDocument `json:"penalties"`
 }
 
-// classDocument describes a class of requests.
+// classDocument is the JSON form of a class of requests.
 type classDocument struct {
 	Name             string  `json:"name"`
 	Effect           string  `json:"effect"`
@@ -25,7 +25,7 @@
 	LateWeight       float64 `json:"lateWorth"`
 }
 
-// limitsDocument says what a router may do.
+// limitsDocument is the JSON form of what a router is allowed to do.
 type limitsDocument struct {
 	Cancel        bool  `json:"cancel"`
 	HealthChecks  bool  `json:"probes"`
@@ -38,7 +38,7 @@
 	Keepalive     int64 `json:"keepalive"`
 }
 
-// rulesDocument describes how the cache servers and discovery behave.
+// rulesDocument is the JSON form of the properties of the cache servers and of discovery.
 type rulesDocument struct {
 	PollInterval     int64   `json:"askEvery"`
 	WarmupTime       int64   `json:"cold"`
@@ -48,17 +48,17 @@
 	OverloadMultiple float64 `json:"tipMultiple"`
 }
 
-// penaltiesDocument holds what each use of a cache server costs.
+// penaltiesDocument is the JSON form of the penalties for health checks and connections to cache servers.
 type penaltiesDocument struct {
 	HealthCheck float64 `json:"probe"`
 	Connection  float64 `json:"connection"`
 	Handshake   float64 `json:"handshake"`
 }
 
-// Values of keys that name one of a few choices.
+// Values of the keys "discovery" and "weights" that change the behaviour of the policy.
 const (
-	discoverySubscribe = "subscribe" // endpoint lists come only to routers that watch
-	weightsLive        = "live"      // weights follow the load of the moment
+	discoverySubscribe = "subscribe" // endpoint lists are sent only to routers that watch
+	weightsLive        = "live"      // weights depend on the current load
 )
 
 var effects = map[string]policy.Effect{
@@ -73,10 +73,10 @@
 	"cell": policy.ScopeGroup,
 }
 
-// defaultMaxAttempts applies where the settings name no limit: no retries.
+// defaultMaxAttempts is the number of attempts if the settings omit the limit. It allows no retries.
 const defaultMaxAttempts = 1
 
-// policySettings returns the part of the document that binds the policy.
+// policySettings returns the settings of the policy.
 func (d *document) policySettings() policy.Settings {
 	s := policy.Settings{
 		Routers:             d.Routers,
@@ -108,8 +108,8 @@
 	return s
 }
 
-// policyClass translates a class. An unknown effect or scope becomes the zero
-// value of its type, which allows the least.
+// policyClass converts a class. An unknown effect or scope becomes the zero value
+// of its type, which is the most restrictive one.
 func (c classDocument) policyClass() policy.Class {
 	return policy.Class{
 		Name:             c.Name,
@@ -123,7 +123,7 @@
 	}
 }
 
-// transport returns the part of the document that binds the transport.
+// transport returns the settings of the transport.
 func (d *document) transport() Transport {
 	return Transport{
 		MaxOpen:     d.Limits.MaxOpen,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a deployment in the form that the
-// simulator's protocol and the router's configuration share.
+// Package settings parses the settings of a deployment. The simulator's protocol
+// and the router's configuration use the same JSON form.
 package settings
 
 import (
@@ -10,31 +10,31 @@
 	"marlstage/policy"
 )
 
-// ErrMissing reports that there are no settings at all.
+// ErrMissing reports that the settings are missing altogether.
 var ErrMissing = errors.New("no settings")
 
 // FieldError reports a setting whose value has the wrong JSON type.
 type FieldError struct {
 	Field string // path of the setting
-	Got   string // JSON type of the value
+	Got   string // JSON type of the value, as encoding/json describes it
 }
 
-// Error names the setting and the type of its value.
+// Error describes the setting and the type of its value.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("wrong shape: %s where %q is read", e.Got, e.Field)
 }
 
-// Transport holds the settings that bind whoever carries out the actions of
-// the policy. The simulator does so by itself; a router on real sockets has to
-// apply them. The zero value of a field means that the setting was left out.
+// Transport holds the settings for executing the actions of the policy. The
+// simulator applies them by itself; a router with real sockets has to apply
+// them. The zero value of a field means that the setting was omitted.
 type Transport struct {
-	MaxOpen     int         // limit on the requests that a router has open
-	DialTimeout policy.Time // after which an attempt to connect has failed
-	Keepalive   policy.Time // after which a cache server closes an idle connection
+	MaxOpen     int         // limit on the number of open requests of a router
+	DialTimeout policy.Time // time limit for connecting to a cache server
+	Keepalive   policy.Time // time after which a cache server closes an idle connection
 }
 
-// Parse reads the settings. A setting that is left out gets the value that
-// asks least of the fleet.
+// Parse parses the settings. An omitted setting gets the value that puts the
+// least load on the cache servers: no retries, no hedging, no health checks.
 func Parse(raw json.RawMessage) (policy.Settings, Transport, error) {
 	if len(raw) == 0 {
 		return policy.Settings{}, Transport{}, ErrMissing
@@ -46,7 +46,8 @@
 	return doc.policySettings(), doc.transport(), nil
 }
 
-// decodeError describes an error of the JSON decoder without naming Go types.
+// decodeError converts an error of the JSON decoder into one that contains no Go
+// types.
 func decodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"marlstage/policy"
 )
 
-// TestParseWarmupRules: each figure of the warm-up and overload rules is read,
-// as the policy would otherwise go by its defaults.
+// TestParseWarmupRules guards against a rule for warming up or overload that is not read, for which the policy
+// would silently use its default.
 func TestParseWarmupRules(t *testing.T) {
 	s, _, err := Parse([]byte(`{"rules":{"cold":9,"fall":4,"startCapacity":0.3,"tipMultiple":2.5}}`))
 	if err != nil || s.WarmupTime != 9 || s.OverloadTime != 4 || s.WarmupStartShare != .3 || s.OverloadMultiple != 2.5 {
@@ -16,7 +16,7 @@
 	}
 }
 
-// TestParseTransport: the settings of the transport are read as given.
+// TestParseTransport checks that all settings of the transport are read.
 func TestParseTransport(t *testing.T) {
 	_, got, err := Parse([]byte(`{"limits":{"maxOpen":7,"dialTimeout":8,"keepalive":9}}`))
 	want := Transport{MaxOpen: 7, DialTimeout: 8, Keepalive: 9}
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestParseDefaults: what is left out or unknown gets what asks least of the fleet.
+// TestParseDefaults checks that omitted settings and unknown values become the most restrictive ones.
 func TestParseDefaults(t *testing.T) {
 	s, _, err := Parse([]byte(`{"limits":{"maxRetryAfter":5},"categories":[{"effect":"odd","dedupScope":"odd"}]}`))
 	if err != nil {
--- a/internal/simprotocol/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -1,7 +1,7 @@
 // Package simprotocol translates between the simulator's line protocol and the
-// policy. Each line from the simulator is a batch of messages; the reply to it
-// is a line with the actions that the policy takes. The package checks the
-// form of what it reads and makes no decisions.
+// policy. Each line from the simulator is a batch of messages. The reply is one
+// line with the policy's actions. The package validates the form of the
+// messages and makes no decisions.
 package simprotocol
 
 import (
@@ -19,21 +19,21 @@
 // bufferSize is the initial size of the buffers for lines, in bytes.
 const bufferSize = 1 << 20
 
-// Adapter runs the routers of one process. They share nothing but the process
-// and the endpoint lists that the simulator defines.
+// Adapter runs the engines of all simulated routers in one process. The engines
+// share only the endpoint lists that the simulator defines.
 type Adapter struct {
 	engines       map[int64]*policy.Engine    // by instance
-	endpointLists map[int64][]policy.Endpoint // by the simulator's number
-	lines         int                         // read so far
+	endpointLists map[int64][]policy.Endpoint // by the ID that the simulator assigned
+	lines         int                         // number of lines read so far
 }
 
-// NewAdapter returns an Adapter without routers.
+// NewAdapter returns an Adapter without engines.
 func NewAdapter() *Adapter {
 	return &Adapter{engines: map[int64]*policy.Engine{}, endpointLists: map[int64][]policy.Endpoint{}}
 }
 
-// Run replies to each line of in with one line on out, until in ends. A line
-// that is malformed ends it with a *LineError.
+// Run reads lines from in until its end and writes one line to out in reply to
+// each. For a malformed line, it returns a *LineError.
 func (a *Adapter) Run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
@@ -51,8 +51,9 @@
 	}
 }
 
-// replyTo handles a line and writes the reply, which the simulator waits for.
-// The end of the input reads as a line of no bytes.
+// replyTo handles a line and writes the reply. It flushes the reply because the
+// simulator waits for it. A line without any bytes, not even a newline, is the
+// end of the input and gets no reply.
 func (a *Adapter) replyTo(line []byte, w *bufio.Writer) error {
 	if len(line) == 0 {
 		return nil
@@ -71,15 +72,15 @@
 	return w.Flush()
 }
 
-// batch is the form of a line from the simulator.
+// batch is the JSON form of a line from the simulator.
 type batch struct {
 	Now      *int64              `json:"now"`
 	Number   *int64              `json:"batch"`
 	Messages *[]*json.RawMessage `json:"msgs"`
 }
 
-// handleBatch decodes one line, handles its messages in order and encodes the
-// actions of all of them.
+// handleBatch decodes one line, handles its messages in order and returns the
+// reply line with the resulting actions.
 func (a *Adapter) handleBatch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
@@ -104,8 +105,8 @@
 	return reply.finish(), nil
 }
 
-// handleMessage handles one message and returns the instance that it is for
-// and the actions to take.
+// handleMessage handles one message. It returns the instance that the message
+// is for and the resulting actions.
 func (a *Adapter) handleMessage(now int64, raw []byte) (instance int64, actions []policy.Action, err error) {
 	name, body, err := splitMessage(raw)
 	if err != nil {
@@ -122,7 +123,8 @@
 	return instance, actions, nil
 }
 
-// handleInstanceMessage handles a message to an instance.
+// handleInstanceMessage handles a message to an instance. It returns the
+// instance and the resulting actions.
 func (a *Adapter) handleInstanceMessage(now int64, name string, body []byte) (int64, []policy.Action, error) {
 	var m message
 	if err := json.Unmarshal(body, &m); err != nil {
@@ -150,7 +152,8 @@
 	return instance, handleEvent(engine, now, event), nil
 }
 
-// startInstance starts a router. It replaces one that runs as the same instance.
+// startInstance starts an engine. It replaces the engine that runs as the same
+// instance, if there is one.
 func (a *Adapter) startInstance(instance int64, m *message) error {
 	set, _, err := settings.Parse(m.Info)
 	if err != nil {
@@ -164,8 +167,8 @@
 	return nil
 }
 
-// handleEvent hands an event to the policy. A panic there becomes an action,
-// so that the simulator can report it.
+// handleEvent passes an event to the engine. It converts a panic of the engine
+// into an action so that the simulator can report it.
 func handleEvent(engine *policy.Engine, now policy.Time, event policy.Event) (actions []policy.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -175,7 +178,8 @@
 	return engine.Handle(now, event)
 }
 
-// splitMessage takes a message apart: an object whose only key is its name.
+// splitMessage returns the name and the body of a message. A message is a JSON
+// object whose only key is the name and whose value is the body.
 func splitMessage(raw []byte) (name string, body json.RawMessage, err error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &m); err != nil {
--- a/internal/simprotocol/adapter_test.go
+++ b/internal/simprotocol/adapter_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-// newInstance starts instance 3.
+// newInstance is a message that starts instance 3.
 const newInstance = `{"NewInstance":{"i":3,"seed":11,"info":{"az":"east","instances":2,"me":0,"discovery":"subscribe",` +
 	`"newSetting":[1,2],"categories":[{"name":"get","effect":"read_like","aim":300000,"hardLimit":900000,"worth":1}],` +
 	`"limits":{"cancel":true,"maxAttempts":3,"probes":true,"secondCopies":true},` +
 	`"rules":{"askEvery":10000000,"cold":8000000,"drainGrace":1000000,"graceToAnswer":20000,"startCapacity":0.2}}}}`
 
-// defineList defines an endpoint list and hands it to instance 3.
+// defineList holds two messages: one that defines an endpoint list, and one that sends it to instance 3.
 const defineList = `{"DefineList":{"rosterId":0,"hosts":[{"unitGroup":0,"size":1,"model":"m","failureDomain":"east",` +
 	`"condition":"up","server":"s-one","later":true}]}},{"Registry":{"i":3,"serial":4,"rosterId":0,"scope":"C"}}`
 
-// line is a batch with the given time and number.
+// line returns a batch with the given time, number and messages.
 func line(now, number string, messages ...string) string {
 	return `{"now":` + now + `,"batch":` + number + `,"msgs":[` + strings.Join(messages, ",") + "]}\n"
 }
 
-// run returns what an adapter replies to the given lines.
+// run returns the replies of a new adapter to the given lines.
 func run(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out strings.Builder
@@ -28,7 +28,7 @@
 	return out.String(), err
 }
 
-// TestRepliesToBatches: each line gets a reply with the actions of its messages.
+// TestRepliesToBatches checks that each line gets one reply with the actions that result from its messages.
 func TestRepliesToBatches(t *testing.T) {
 	in := line("1000", "1") +
 		line("2000", "2", newInstance, defineList) +
@@ -54,12 +54,12 @@
 	}
 	for k := range want {
 		if !strings.Contains(lines[k], want[k]) {
-			t.Errorf("reply %d: %s\nwant in it: %s", k+1, lines[k], want[k])
+			t.Errorf("reply %d: %s\ndoes not contain: %s", k+1, lines[k], want[k])
 		}
 	}
 }
 
-// TestRestartInOneBatch: an instance that exits and starts again in one batch serves requests.
+// TestRestartInOneBatch checks that an instance which exits and starts again within one batch serves requests.
 func TestRestartInOneBatch(t *testing.T) {
 	in := line("1", "1", newInstance, defineList) + line("2", "2", `{"Exit":{"i":3}}`, newInstance, defineList) +
 		line("3", "3", `{"WorkItem":{"i":3,"tid":1,"tierClass":"get","dropDead":400003}}`)
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestMalformedInput ends the run with an error in one line that names the place; batches before it get replies.
+// TestMalformedInput checks that malformed input ends the run with a one-line error that names the position, and that
+// the batches before it get replies.
 func TestMalformedInput(t *testing.T) {
 	good := line("1", "1")
 	for in, want := range map[string]string{
@@ -100,7 +101,7 @@
 	}
 }
 
-// TestEndOfInput: the last line may lack its newline.
+// TestEndOfInput checks that the last line may end without a newline, and that empty input gets no reply.
 func TestEndOfInput(t *testing.T) {
 	if out, err := run(t, ""); err != nil || out != "" {
 		t.Fatal(out, err)
@@ -110,7 +111,7 @@
 	}
 }
 
-// FuzzRun: whatever the input, errors take one line and the policy does not panic.
+// FuzzRun checks for any input that an error takes one line and that the policy does not panic.
 func FuzzRun(f *testing.F) {
 	f.Add(line("1", "1", newInstance, defineList))
 	f.Add(line("1", "1", newInstance, defineList, `{"Checked":{"i":3,"server":"s-one","stateCode":"served","feedback":{"busy":0.5}}}`))
--- a/internal/simprotocol/endpoints.go
+++ b/internal/simprotocol/endpoints.go
@@ -6,13 +6,13 @@
 	"marlstage/policy"
 )
 
-// endpointListDocument is the form of an endpoint list.
+// endpointListDocument is the JSON form of an endpoint list.
 type endpointListDocument struct {
 	List      *int64             `json:"rosterId"`
 	Endpoints []endpointDocument `json:"hosts"`
 }
 
-// endpointDocument is the form of an endpoint.
+// endpointDocument is the JSON form of an endpoint.
 type endpointDocument struct {
 	Group     int      `json:"unitGroup"`
 	StartedAt int64    `json:"startTime"`
@@ -28,7 +28,7 @@
 	"removed":  policy.Removed,
 }
 
-// defineList keeps an endpoint list for later messages, which name its number.
+// defineList stores an endpoint list, to which later messages refer by its ID.
 func (a *Adapter) defineList(body []byte) error {
 	var doc endpointListDocument
 	if err := json.Unmarshal(body, &doc); err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// endpoint checks the fields and converts them.
+// endpoint validates the document and converts it.
 func (d *endpointDocument) endpoint() (policy.Endpoint, error) {
 	state, ok := endpointStates[d.State]
 	if !ok || d.ID == "" {
--- a/internal/simprotocol/messages.go
+++ b/internal/simprotocol/messages.go
@@ -15,12 +15,12 @@
 	exitMessage        = "Exit"
 )
 
-// message holds the fields of all messages to an instance. Each name uses some
-// of them.
+// message holds the fields of all messages to an instance. Each kind of message
+// uses some of them.
 type message struct {
 	Instance     *int64             `json:"i"`
 	Seed         uint64             `json:"seed"`
-	Info         json.RawMessage    `json:"info"` // settings, or a number that describes the reply
+	Info         json.RawMessage    `json:"info"` // settings of a new instance, or a number about the reply to an attempt
 	EndpointList int64              `json:"rosterId"`
 	UpdateKind   string             `json:"scope"`
 	RequestID    int64              `json:"tid"`
@@ -41,7 +41,8 @@
 	Data         string             `json:"data"`
 }
 
-// eventDecoders turn the messages that carry an event into it, by name.
+// eventDecoders maps the name of each message that carries an event to the
+// function that decodes it.
 var eventDecoders = map[string]func(*Adapter, *message) (policy.Event, error){
 	"Registry":   (*Adapter).endpointsUpdate,
 	"WorkItem":   decodeRequest,
@@ -53,7 +54,8 @@
 	"Datagram":   decodePeerMessage,
 }
 
-// isKnownMessage reports whether there is a message with the given name.
+// isKnownMessage reports whether the protocol defines a message with the given
+// name.
 func isKnownMessage(name string) bool {
 	switch name {
 	case defineListMessage, newInstanceMessage, exitMessage:
@@ -69,8 +71,8 @@
 	"X": policy.UpdateFailed,
 }
 
-// endpointsUpdate decodes an update, which names a list that was defined
-// before. A failed watch brings none.
+// endpointsUpdate decodes an update of the endpoint list. The update refers to a
+// list that was defined before, except for the report of a failed poll or watch.
 func (a *Adapter) endpointsUpdate(m *message) (policy.Event, error) {
 	kind, ok := updateKinds[m.UpdateKind]
 	if !ok {
@@ -88,7 +90,7 @@
 
 func decodeRequest(_ *Adapter, m *message) (policy.Event, error) {
 	request := &policy.Request{ID: m.RequestID, Class: m.Class, Deadline: m.Deadline, Cost: m.Cost, Write: m.Write}
-	request.Tenant, _ = m.Tenant.(string) // any other type stands for no tenant
+	request.Tenant, _ = m.Tenant.(string) // a value of another type means that there is no tenant
 	if m.Key != nil {
 		request.Key = *m.Key
 		request.HasKey = true
@@ -156,17 +158,18 @@
 	return result, nil
 }
 
-// minMissInfo is the least number in a reply's info that stands for a miss.
+// minMissInfo is the smallest value of the info field that means a miss.
 const minMissInfo = 2
 
-// isMiss reports whether the cache server had to fetch the value. Info that is
-// not a number says nothing of that.
+// isMiss reports whether the cache server had to fetch the value. It returns
+// false if the info field is not a number.
 func (m *message) isMiss() bool {
 	n, err := strconv.Atoi(string(m.Info))
 	return err == nil && n >= minMissInfo
 }
 
-// unknownUtilization stands for a load report without a utilization.
+// unknownUtilization is the value of LoadReport.Utilization if the report
+// contains no utilization.
 const unknownUtilization = -1
 
 func (m *message) loadReport() policy.LoadReport {
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -8,16 +8,16 @@
 	"marlstage/policy"
 )
 
-// exception stands for a panic in the policy.
+// exception is an action that reports a panic of the engine to the simulator.
 type exception struct {
 	policy.Action
 	text string
 }
 
-// reply is the line for a batch under construction.
+// reply builds the reply line to a batch.
 type reply struct {
 	buf      []byte
-	hasEntry bool
+	hasEntry bool // whether a decision has been appended
 }
 
 func newReply(batch int64) *reply {
@@ -25,10 +25,10 @@
 	return &reply{buf: append(buf, `,"decisions":[`...)}
 }
 
-// finish returns the line. The reply takes no more actions.
+// finish returns the complete line. No more actions may be appended after it.
 func (r *reply) finish() []byte { return append(r.buf, "]}\n"...) }
 
-// appendAction adds an action of an instance.
+// appendAction appends an action of an instance, which the protocol calls a decision.
 func (r *reply) appendAction(instance int64, action policy.Action) {
 	switch a := action.(type) {
 	case policy.Send:
@@ -88,7 +88,7 @@
 	r.text("reasonText", text)
 }
 
-// open starts a decision with its name and its instance.
+// open begins a decision with its name and its instance.
 func (r *reply) open(name string, instance int64) {
 	if r.hasEntry {
 		r.buf = append(r.buf, ',')
@@ -100,10 +100,10 @@
 	r.buf = strconv.AppendInt(r.buf, instance, 10)
 }
 
-// close ends a decision.
+// close ends the decision that open has begun.
 func (r *reply) close() { r.buf = append(r.buf, "}}"...) }
 
-// key starts a field of a decision.
+// key appends the key of a field of the current decision. Its value has to follow.
 func (r *reply) key(name string) {
 	r.buf = append(r.buf, `,"`...)
 	r.buf = append(r.buf, name...)
@@ -117,7 +117,7 @@
 
 func (r *reply) text(name, value string) {
 	r.key(name)
-	quoted, _ := json.Marshal(value) // a string always encodes
+	quoted, _ := json.Marshal(value) // never fails for a string
 	r.buf = append(r.buf, quoted...)
 }
 
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,5 +1,5 @@
-// Package splitmix holds the SplitMix64 pseudo-random generator and hashes built on its finalizer. Equal
-// seeds give equal numbers, on every machine.
+// Package splitmix implements the SplitMix64 pseudo-random generator and hash functions built on its
+// finalizer. Equal seeds give equal numbers on every machine.
 package splitmix
 
 import "hash/fnv"
@@ -12,7 +12,7 @@
 	discardedBits = 64 - mantissaBits
 )
 
-// Source is a SplitMix64 generator; its value is the state.
+// Source is a SplitMix64 generator. Its value is the generator's state, initially the seed.
 type Source uint64
 
 // Float64 returns the next pseudo-random number in [0, 1).
@@ -21,7 +21,8 @@
 	return Unit(Mix(uint64(*s)))
 }
 
-// Jitter shortens a wait by a random part of up to a half, so that waits that begin together end apart.
+// Jitter shortens a wait by a random part of up to a half, so that waits that start at the same time do not
+// all end at the same time.
 func (s *Source) Jitter(wait float64) float64 { return wait * (0.5 + s.Float64()/2) }
 
 // Mix is the finalizer of SplitMix64: a bijection whose result depends on all bits of x.
@@ -33,7 +34,7 @@
 	return x ^ x>>31
 }
 
-// Unit maps a hash to [0, 1).
+// Unit maps a hash uniformly to [0, 1).
 func Unit(x uint64) float64 { return float64(x>>discardedBits) / (1 << mantissaBits) }
 
 // String returns a hash of the string.
--- a/internal/splitmix/splitmix_test.go
+++ b/internal/splitmix/splitmix_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The first numbers of SplitMix64 for the seed 0, as published with the reference implementation.
+// TestMixMatchesReference compares the first numbers for the seed 0 with those published for the reference
+// implementation of SplitMix64.
 func TestMixMatchesReference(t *testing.T) {
 	state := uint64(0)
 	for i, want := range []uint64{0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f} {
--- a/internal/stats/decay.go
+++ b/internal/stats/decay.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-const roundingError = 1e-9 // events
+// roundingError is the count, in events, below which a count is taken for zero after an adjustment.
+const roundingError = 1e-9
 
-// FadingCount is a fading count of events. The zero value is a count of none.
+// FadingCount counts events and decays exponentially with time. The zero value is a count of 0.
 type FadingCount struct {
-	value float64 // as of at
-	at    int64
+	value float64 // count at the time at
+	at    int64   // time of the last change
 }
 
-// Add counts one event at the given time, after fading by the time constant.
+// Add decays the count to the given time and then adds one event.
 func (c *FadingCount) Add(now, constant int64) { c.value, c.at = c.At(now, constant)+1, now }
 
-// Adjust changes the count by a number of events at the given time. What is left after rounding where all of it is
-// taken back does not count.
+// Adjust decays the count to the given time and then adds a number of events, which may be negative. A result
+// below roundingError becomes 0, as subtracting all events may leave a rounding error.
 func (c *FadingCount) Adjust(now, constant int64, events float64) {
 	c.value, c.at = c.At(now, constant)+events, now
 	if c.value < roundingError {
@@ -22,7 +23,7 @@
 	}
 }
 
-// At returns the count at the given time. It fades e-fold in the time constant.
+// At returns the count decayed to the given time. It falls by a factor of e in each time constant.
 func (c *FadingCount) At(now, constant int64) float64 {
 	return c.value * math.Exp(-float64(now-c.at)/float64(constant))
 }
--- a/internal/stats/quantile.go
+++ b/internal/stats/quantile.go
@@ -1,14 +1,15 @@
 package stats
 
-// quantileStep is the part by which one sample moves the estimate.
+// quantileStep scales the relative change of the estimate at each sample.
 const quantileStep = .1
 
-// Quantile estimates a low quantile, up to the median, of a stream of samples in constant space. Each sample
-// moves the estimate up or down by a small part of it, in proportions that balance where the share of samples
-// below it is the tracked quantile. The zero value has no estimate.
+// Quantile estimates a low quantile, up to the median, of a stream of samples in constant space. A sample
+// below the estimate lowers it by quantileStep*(1-quantile) of its value, any other sample raises it by
+// quantileStep*quantile. On average, these changes cancel out where the share of samples below the estimate
+// equals the quantile. The zero value has no estimate.
 type Quantile struct{ estimate float64 }
 
-// Add takes a positive sample into the estimate of the given quantile, from 0 to 1.
+// Add updates the estimate of the given quantile, between 0 and 1, with a positive sample.
 func (t *Quantile) Add(sample, quantile float64) {
 	if t.estimate == 0 {
 		t.estimate = sample
--- a/internal/stats/quantile_test.go
+++ b/internal/stats/quantile_test.go
@@ -10,7 +10,7 @@
 	for _, quantile := range []float64{0.1, 0.25, 0.5} {
 		var tracker Quantile
 		if tracker.Estimate() != 0 {
-			t.Fatal("an estimate before the first sample")
+			t.Fatal("the estimate is not 0 before the first sample")
 		}
 		below, samples := 0, 0
 		for i := range 50_000 {
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,3 +1,3 @@
-// Package stats keeps statistics of streams of events in little space: counts over two windows of time,
-// counts that fade, and estimates of a quantile.
+// Package stats keeps statistics of event streams in little memory: counts over two time windows,
+// exponentially decaying counts, and quantile estimates.
 package stats
--- a/internal/stats/window.go
+++ b/internal/stats/window.go
@@ -1,14 +1,13 @@
-// Counts over two windows of time, the current one and the previous one: a rotation forgets only what is at
-// least a window old.
-
 package stats
 
+// The types in this file keep data for two time windows, the current and the previous one. Rotate discards
+// the previous window, so data is kept for at least the length of one window.
 const (
 	current  = 0
 	previous = 1
 )
 
-// WindowCount counts events. Its elements are the counts of the current and of the previous window.
+// WindowCount counts events. Its elements are the counts in the current and in the previous window.
 type WindowCount [2]int
 
 // Add counts one event in the current window.
@@ -17,25 +16,26 @@
 // Total returns the count over both windows.
 func (c *WindowCount) Total() int { return c[current] + c[previous] }
 
-// Rotate opens a new window.
+// Rotate starts a new window and discards the previous one.
 func (c *WindowCount) Rotate() { c[current], c[previous] = 0, c[current] }
 
-// KeyCounts counts events by key. Its elements are the counts of the current and of the previous window.
+// KeyCounts counts events by key. Its elements are the counts in the current and in the previous window.
 type KeyCounts [2]map[uint64]int
 
 // NewKeyCounts returns counts of zero for all keys.
 func NewKeyCounts() KeyCounts { return KeyCounts{{}, {}} }
 
-// Add counts one event of the key in the current window.
+// Add counts one event for the key in the current window.
 func (c *KeyCounts) Add(key uint64) { c[current][key]++ }
 
 // Total returns the count of the key over both windows.
 func (c *KeyCounts) Total(key uint64) int { return c[current][key] + c[previous][key] }
 
-// Rotate opens a new window.
+// Rotate starts a new window and discards the previous one.
 func (c *KeyCounts) Rotate() { c[current], c[previous] = map[uint64]int{}, c[current] }
 
-// KeySet is a set of the keys seen lately. Its elements are those of the current and of the previous window.
+// KeySet is a set of recently added keys. Its elements are the keys added in the current and in the previous
+// window.
 type KeySet [2]map[uint64]bool
 
 // NewKeySet returns an empty set.
@@ -50,7 +50,8 @@
 // Empty reports whether no key was added in either window.
 func (s *KeySet) Empty() bool { return len(s[current])+len(s[previous]) == 0 }
 
-// Rotate opens a new window.
+// Rotate starts a new window and discards the previous one. If the previous window is empty, its map is
+// reused.
 func (s *KeySet) Rotate() {
 	if len(s[previous]) == 0 {
 		s[current], s[previous] = s[previous], s[current]
