--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,14 +15,14 @@
 
 // Config is the configuration of a router.
 type Config struct {
-	Name      string
-	Listen    string // address for clients
-	Discovery string // address of the discovery service
-	Seed      uint64 // of the policy's random choices
-	Limits    Limits
-	Known     discovery.EndpointList // last known list, possibly out of date
-	Settings  policy.Settings
-	Transport settings.Transport
+	Name           string
+	Listen         string // address for clients
+	Discovery      string // address of the discovery service
+	Seed           uint64 // of the policy's random choices
+	Limits         Limits
+	KnownEndpoints discovery.EndpointList // last known list, possibly out of date
+	Settings       policy.Settings
+	Transport      settings.Transport
 }
 
 // Defaults of the transport settings, in microseconds.
@@ -104,14 +104,14 @@
 		return nil, &FieldError{Field: "settings", Reason: err}
 	}
 	return &Config{
-		Name:      d.Name,
-		Listen:    d.Listen,
-		Discovery: d.Discovery,
-		Seed:      seed,
-		Limits:    d.Limits,
-		Known:     known,
-		Settings:  policySettings,
-		Transport: transport,
+		Name:           d.Name,
+		Listen:         d.Listen,
+		Discovery:      d.Discovery,
+		Seed:           seed,
+		Limits:         d.Limits,
+		KnownEndpoints: known,
+		Settings:       policySettings,
+		Transport:      transport,
 	}, nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	if cfg.Seed != 0x8c1f30d27a5be964 || cfg.Limits.Sockets != defaultSockets || cfg.Transport.DialTimeout != 20_000_000 ||
-		cfg.Settings.Routers != 1 || cfg.Known.Version != discovery.NoVersion {
+		cfg.Settings.Routers != 1 || cfg.KnownEndpoints.Version != discovery.NoVersion {
 		t.Errorf("got %+v", cfg)
 	}
 }
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -50,9 +50,9 @@
 // minBulkSize is the size in bytes of the shortest bulk string.
 const minBulkSize = len("$0\r\n\r\n")
 
-// MissingSize returns a lower bound on the number of bytes that are missing from the incomplete command
+// MinMissingSize returns a lower bound on the number of bytes that are missing from the incomplete command
 // in b. It is at least 1. A reader that requests no more than that never reads beyond the command.
-func MissingSize(b []byte) int {
+func MinMissingSize(b []byte) int {
 	elements, size, ok := header(b, redcon.Array)
 	if !ok {
 		return 1
--- a/internal/resp/frame_test.go
+++ b/internal/resp/frame_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestMissingSizeEndsAtCommand cuts commands at every position. It checks that reading no more than
-// MissingSize bytes at a time ends exactly at the end of the command.
-func TestMissingSizeEndsAtCommand(t *testing.T) {
+// TestMinMissingSizeEndsAtCommand cuts commands at every position. It checks that reading no more than
+// MinMissingSize bytes at a time ends exactly at the end of the command.
+func TestMinMissingSizeEndsAtCommand(t *testing.T) {
 	for name, command := range map[string]string{
 		"get":         string(AppendCommand(nil, VerbGet, "key", "id", "c=read,d=1000")),
 		"set":         string(AppendCommand(nil, VerbSet, "key", "id", "c=put,d=1000", strings.Repeat("v", 12_000))),
@@ -22,7 +22,7 @@
 				if args, size, err := NextCommand([]byte(command[:received])); size > 0 || err != nil {
 					t.Fatalf("%s, %d bytes: %q of %d bytes, %v", name, received, args, size, err)
 				}
-				missing := MissingSize([]byte(command[:received]))
+				missing := MinMissingSize([]byte(command[:received]))
 				if missing < 1 || received+missing > len(command) {
 					t.Fatalf("%s: got %d missing bytes after %d of %d", name, missing, received, len(command))
 				}
@@ -38,15 +38,15 @@
 	}
 }
 
-// TestMissingSizeOfRubbish checks that the result stays small for bytes that are not a valid command, also where
+// TestMinMissingSizeOfInvalidInput checks that the result stays small for bytes that are not a valid command, also where
 // computing it from their lengths would overflow.
-func TestMissingSizeOfRubbish(t *testing.T) {
+func TestMinMissingSizeOfInvalidInput(t *testing.T) {
 	for _, b := range []string{
 		"*", "*x\r\n", "*2\r\nfoo", "*1\r\n$-1\r\n", "*99999999999999999999\r\n", "\r", "$",
 		"*4611686018427387904\r\n", "*9223372036854775807\r\n$1", "*1\r\n$4611686018427387904\r\nx",
 		"*1\r\n$9223372036854775807\r\nx",
 	} {
-		if got := MissingSize([]byte(b)); got < 1 || got > 2*minBulkSize {
+		if got := MinMissingSize([]byte(b)); got < 1 || got > 2*minBulkSize {
 			t.Errorf("%q: %d", b, got)
 		}
 	}
--- a/internal/router/client_socket.go
+++ b/internal/router/client_socket.go
@@ -30,9 +30,9 @@
 	if c.nc == nil {
 		return false, nil // a request without a client, as in tests
 	}
-	peer, err := c.nc.LookAtPeer()
+	peer, err := c.nc.PeerState()
 	switch {
-	case err != nil || peer.HungUp || !peer.HasSent:
+	case err != nil || peer.HungUp || !peer.Readable:
 		return peer.HungUp, err
 	case c.readingStopped.Load():
 		return false, errEndUnknown
--- a/internal/router/client_writer.go
+++ b/internal/router/client_writer.go
@@ -143,8 +143,8 @@
 func (c *clientConn) linger() {
 	now := c.srv.loop.clock()
 	idle := now-c.lastReplyAt.Load() > c.srv.lingerTime.Microseconds()
-	unacknowledged := c.nc.HasUnacknowledged()
-	if idle && !unacknowledged && !c.nc.HasUnread() {
+	unacknowledged := c.nc.MayHaveUnacknowledged()
+	if idle && !unacknowledged && !c.nc.MayHaveUnread() {
 		return
 	}
 	if c.nc.CloseWrite() != nil {
@@ -176,7 +176,7 @@
 	case now >= c.lingerLimit.Load():
 		return true
 	}
-	return !c.nc.HasUnacknowledged()
+	return !c.nc.MayHaveUnacknowledged()
 }
 
 // lingerTime is shorter on a connection that is evicted. Otherwise many clients that ignore the
--- a/internal/router/command_reader.go
+++ b/internal/router/command_reader.go
@@ -213,7 +213,7 @@
 	if !r.arrival.mayHaveWaited(now) {
 		return false
 	}
-	if r.conn.nc.HasUnread() {
+	if r.conn.nc.MayHaveUnread() {
 		return true
 	}
 	r.arrival.noteEmptyRead(now)
@@ -227,7 +227,7 @@
 	if r.late > resp.MaxCommandSize {
 		return reason
 	}
-	n, err := r.readWith(r.conn.nc.ReadArrived, cap(r.buf))
+	n, err := r.readWith(r.conn.nc.ReadAvailable, cap(r.buf))
 	r.late += n
 	if n == 0 && err == nil {
 		return reason
--- a/internal/router/event_loop.go
+++ b/internal/router/event_loop.go
@@ -103,14 +103,14 @@
 		settleTime:       defaultSettleTime,
 		maxWriteTime:     defaultMaxWriteTime,
 		discovery:        newDiscoveryClient(cfg),
-		endpointsVersion: cfg.Known.Version,
+		endpointsVersion: cfg.KnownEndpoints.Version,
 		startTimes:       newStartTimes(),
 	}
 	l.stalls = newStallMonitor(l.clock(), l.noteStall)
 	l.delay = &loopDelay{loop: l}
 	l.delayReports = &delayReporter{loop: l}
 	// A client's PING may be answered before the loop has applied the known endpoints.
-	l.canServe.Store(cfg.Known.HasInService())
+	l.canServe.Store(cfg.KnownEndpoints.HasInService())
 	return l, nil
 }
 
@@ -241,7 +241,7 @@
 
 // applyKnownEndpoints applies the endpoint list of the configuration, which may be stale.
 func (l *eventLoop) applyKnownEndpoints() {
-	known := l.cfg.Known
+	known := l.cfg.KnownEndpoints
 	known.Snapshot = true
 	if !known.HasInService() {
 		// Without a cache in service the router is not ready. Discovery answers a call for the
--- a/internal/router/last_command.go
+++ b/internal/router/last_command.go
@@ -58,8 +58,8 @@
 	if r.last.reads++; r.buf[0] != redcon.Array || r.last.reads > maxLastReads {
 		return errCommandTimeout
 	}
-	most := min(cap(r.buf), len(r.buf)+resp.MissingSize(r.buf))
-	n, err := r.readWith(r.conn.nc.ReadArrived, most)
+	most := min(cap(r.buf), len(r.buf)+resp.MinMissingSize(r.buf))
+	n, err := r.readWith(r.conn.nc.ReadAvailable, most)
 	if n > 0 || err != nil {
 		return err
 	}
--- a/internal/router/read_ahead.go
+++ b/internal/router/read_ahead.go
@@ -27,12 +27,12 @@
 		r.ahead.since = max(r.arrival.readAt, r.ahead.until)
 	}
 	r.ahead.until = r.conn.srv.loop.clock()
-	for r.conn.nc.HasUnread() {
+	for r.conn.nc.MayHaveUnread() {
 		if len(r.ahead.bytes) >= maxReadAhead || !memory.tryAcquire(readAheadStep) {
 			return false
 		}
 		step := make([]byte, readAheadStep)
-		n, err := r.conn.nc.ReadArrived(step)
+		n, err := r.conn.nc.ReadAvailable(step)
 		memory.release(int64(readAheadStep - n))
 		r.conn.aheadCharge.Add(int64(n))
 		r.ahead.bytes = append(r.ahead.bytes, step[:n]...)
--- a/internal/router/upstream_socket.go
+++ b/internal/router/upstream_socket.go
@@ -28,7 +28,7 @@
 	if c.replyBegun.Load() {
 		return errOutOfStep
 	}
-	silent, err := c.nc.IsSilent()
+	silent, err := c.nc.NothingToRead()
 	if !silent && err == nil {
 		return errOutOfStep
 	}
--- a/internal/router/upstream_write.go
+++ b/internal/router/upstream_write.go
@@ -47,7 +47,7 @@
 		c.pool.returnUnused(c)
 		return c.pool.loop.resolveClientCheck(a, err)
 	case n == 0 && err != nil:
-		if c.nc.HasBytes() {
+		if c.nc.HasUnreadBytes() {
 			c.noteUnsolicited(!isNew)
 		}
 		c.failUnsent(a, isNew)
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -127,9 +127,9 @@
 	return n, nil
 }
 
-// ReadArrived reads bytes that have been received, without blocking and regardless of the read deadline. It
+// ReadAvailable reads bytes that have been received, without blocking and regardless of the read deadline. It
 // returns 0 and no error if there are none.
-func (c *Conn) ReadArrived(b []byte) (n int, err error) {
+func (c *Conn) ReadAvailable(b []byte) (n int, err error) {
 	var backoff transientBackoff
 	for {
 		controlErr := c.raw.Control(func(fd uintptr) { n, err = c.readNow(int(fd), b) })
@@ -207,9 +207,9 @@
 	return max(n, 0), err
 }
 
-// IsSilent reports whether there is nothing to read: neither unread bytes nor the end of the stream. If the
+// NothingToRead reports whether there is nothing to read: neither unread bytes nor the end of the stream. If the
 // query failed, it returns false, and also the error if that is transient.
-func (c *Conn) IsSilent() (bool, error) {
+func (c *Conn) NothingToRead() (bool, error) {
 	_, err := c.peek()
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
@@ -221,14 +221,14 @@
 	}
 }
 
-// HasUnread reports whether there are unread bytes. It also returns true if the query failed.
-func (c *Conn) HasUnread() bool {
+// MayHaveUnread reports whether there are unread bytes. It also returns true if the query failed.
+func (c *Conn) MayHaveUnread() bool {
 	n, err := c.peek()
 	return n > 0 || err != nil && !errors.Is(err, syscall.EAGAIN)
 }
 
-// HasBytes reports whether there are unread bytes. It returns false if the query failed.
-func (c *Conn) HasBytes() bool {
+// HasUnreadBytes reports whether there are unread bytes. It returns false if the query failed.
+func (c *Conn) HasUnreadBytes() bool {
 	n, err := c.peek()
 	return err == nil && n > 0
 }
@@ -245,9 +245,9 @@
 	return n, errors.Join(controlErr, err)
 }
 
-// HasUnacknowledged reports whether the peer's machine has not acknowledged all written bytes. It also
+// MayHaveUnacknowledged reports whether the peer's machine has not acknowledged all written bytes. It also
 // returns true if the query failed.
-func (c *Conn) HasUnacknowledged() bool {
+func (c *Conn) MayHaveUnacknowledged() bool {
 	n := 0
 	var queryErr error
 	err := c.raw.Control(func(fd uintptr) {
@@ -267,18 +267,18 @@
 	return age, errors.Join(controlErr, err)
 }
 
-// Peer is the state of the peer as far as the socket shows it.
-type Peer struct {
-	HungUp  bool // the peer has closed its side of the connection or reset it
-	HasSent bool // there is something to read; the end of the stream may follow unread bytes
+// PeerState is the state of the peer as far as the socket shows it.
+type PeerState struct {
+	HungUp   bool // the peer has closed its side of the connection or reset it
+	Readable bool // there is something to read; the end of the stream may follow unread bytes
 }
 
-// LookAtPeer returns the state of the peer. If the connection was closed on this side, the peer counts as
+// PeerState returns the state of the peer. If the connection was closed on this side, the peer counts as
 // hung up.
-func (c *Conn) LookAtPeer() (peer Peer, err error) {
+func (c *Conn) PeerState() (peer PeerState, err error) {
 	controlErr := c.raw.Control(func(fd uintptr) { peer, err = c.peerNow(int(fd)) })
 	if controlErr != nil {
-		return Peer{HungUp: true}, nil
+		return PeerState{HungUp: true}, nil
 	}
 	return peer, err
 }
@@ -286,22 +286,22 @@
 // HungUp reports whether the peer has closed its side of the connection or reset it, even if there are
 // unread bytes that it sent before. It returns an error if the query failed.
 func (c *Conn) HungUp() (hungUp bool, err error) {
-	peer, err := c.LookAtPeer()
+	peer, err := c.PeerState()
 	return peer.HungUp, err
 }
 
 // peerNow queries the state of the peer with poll.
-func (c *Conn) peerNow(fd int) (Peer, error) {
+func (c *Conn) peerNow(fd int) (PeerState, error) {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
 	err := retryInterrupted(func() error {
 		_, err := c.system.Poll(fds)
 		return err
 	})
 	if err != nil {
-		return Peer{}, err
+		return PeerState{}, err
 	}
 	events := fds[0].Revents
-	return Peer{HungUp: events&hangupEvents != 0, HasSent: events&unix.POLLIN != 0}, nil
+	return PeerState{HungUp: events&hangupEvents != 0, Readable: events&unix.POLLIN != 0}, nil
 }
 
 // UnreadBytes returns how many bytes have been received and not yet read.
@@ -318,16 +318,16 @@
 // AwaitHangup waits until the peer has hung up or the read deadline has passed. It reads nothing: bytes
 // received in the meantime remain unread.
 func (c *Conn) AwaitHangup() error {
-	return c.await(func(peer Peer) bool { return peer.HungUp })
+	return c.await(func(peer PeerState) bool { return peer.HungUp })
 }
 
 // AwaitReadable waits until there is something to read, the peer has hung up or the read deadline has passed.
 func (c *Conn) AwaitReadable() error {
-	return c.await(func(peer Peer) bool { return peer.HungUp || peer.HasSent })
+	return c.await(func(peer PeerState) bool { return peer.HungUp || peer.Readable })
 }
 
 // await waits until the condition holds for the state of the peer or the read deadline has passed.
-func (c *Conn) await(condition func(Peer) bool) error {
+func (c *Conn) await(condition func(PeerState) bool) error {
 	return c.raw.Read(func(fd uintptr) (done bool) {
 		peer, err := c.peerNow(int(fd))
 		return err == nil && condition(peer)
--- a/internal/socket/conn_test.go
+++ b/internal/socket/conn_test.go
@@ -130,30 +130,30 @@
 			t.Errorf("a closed connection: hung up %t, %v", hungUp, err)
 		}
 	})
-	t.Run("HasUnread", func(t *testing.T) {
+	t.Run("MayHaveUnread", func(t *testing.T) {
 		system := &failingSystem{}
 		conn, peer := newPair(t, system)
 		send(t, conn, peer)
 		system.peek = interrupts
-		if !conn.HasUnread() {
+		if !conn.MayHaveUnread() {
 			t.Error("the received byte is not reported")
 		}
 	})
-	t.Run("IsSilent", func(t *testing.T) {
+	t.Run("NothingToRead", func(t *testing.T) {
 		system := &failingSystem{}
 		conn, peer := newPair(t, system)
 		send(t, conn, peer)
 		system.peek = interrupts
-		if silent, err := conn.IsSilent(); silent || err != nil {
+		if silent, err := conn.NothingToRead(); silent || err != nil {
 			t.Error("silent, although a byte has been received")
 		}
 	})
-	t.Run("HasUnacknowledged", func(t *testing.T) {
+	t.Run("MayHaveUnacknowledged", func(t *testing.T) {
 		system := &failingSystem{}
 		conn, _ := newPair(t, system)
 		fillSendBuffer(t, conn)
 		system.unacknowledged = interrupts
-		if !conn.HasUnacknowledged() {
+		if !conn.MayHaveUnacknowledged() {
 			t.Error("all bytes acknowledged, although the peer reads nothing")
 		}
 	})
@@ -173,13 +173,13 @@
 			if hungUp, err := conn.HungUp(); hungUp || !errors.Is(err, failure) {
 				t.Errorf("hung up %t, %v", hungUp, err)
 			}
-			if !conn.HasUnread() {
+			if !conn.MayHaveUnread() {
 				t.Error("nothing unread")
 			}
-			if silent, _ := conn.IsSilent(); silent {
+			if silent, _ := conn.NothingToRead(); silent {
 				t.Error("silent")
 			}
-			if !conn.HasUnacknowledged() {
+			if !conn.MayHaveUnacknowledged() {
 				t.Error("all acknowledged")
 			}
 		})
--- a/internal/stats/decay.go
+++ b/internal/stats/decay.go
@@ -5,18 +5,18 @@
 // roundingError is the count, in events, below which a count is taken for zero after an adjustment.
 const roundingError = 1e-9
 
-// FadingCount counts events and decays exponentially with time. The zero value is a count of 0.
-type FadingCount struct {
+// DecayingCount counts events and decays exponentially with time. The zero value is a count of 0.
+type DecayingCount struct {
 	value float64 // count at the time at
 	at    int64   // time of the last change
 }
 
 // Add decays the count to the given time and then adds one event.
-func (c *FadingCount) Add(now, constant int64) { c.value, c.at = c.At(now, constant)+1, now }
+func (c *DecayingCount) Add(now, constant int64) { c.value, c.at = c.At(now, constant)+1, now }
 
 // Adjust decays the count to the given time and then adds a number of events, which may be negative. A result
 // below roundingError becomes 0, as subtracting all events may leave a rounding error.
-func (c *FadingCount) Adjust(now, constant int64, events float64) {
+func (c *DecayingCount) Adjust(now, constant int64, events float64) {
 	c.value, c.at = c.At(now, constant)+events, now
 	if c.value < roundingError {
 		c.value = 0
@@ -24,6 +24,6 @@
 }
 
 // At returns the count decayed to the given time. It falls by a factor of e in each time constant.
-func (c *FadingCount) At(now, constant int64) float64 {
+func (c *DecayingCount) At(now, constant int64) float64 {
 	return c.value * math.Exp(-float64(now-c.at)/float64(constant))
 }
--- a/internal/stats/decay_test.go
+++ b/internal/stats/decay_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-func TestFadingCountFades(t *testing.T) {
+func TestDecayingCountDecays(t *testing.T) {
 	const constant = 1_000
-	var count FadingCount
+	var count DecayingCount
 	if got := count.At(500, constant); got != 0 {
 		t.Errorf("count %v before the first event", got)
 	}
--- a/policy/cache.go
+++ b/policy/cache.go
@@ -32,8 +32,8 @@
 	timeTokens       float64 // time earned under a limit below one, as of timeTokensAt
 	timeTokensAt     Time
 	attemptsSent     int // ever
-	recentAttempts   stats.FadingCount
-	recentRejections stats.FadingCount // of those attempts
+	recentAttempts   stats.DecayingCount
+	recentRejections stats.DecayingCount // of those attempts
 	lastSentAt       Time
 	lastReplyAt      Time
 	lastHitOnTime    bool           // it served the last likely hit in time
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -29,12 +29,12 @@
 	zones       map[string]*circuitBreaker
 	inService   []*cache // in the order of their identifiers
 	groups      cacheGroups
-	sums        weightSums        // as last made; see weightSums
-	warmLoad    stats.FadingCount // recently accepted attempts at warm caches
-	meanWeight  float64           // of the caches in service
-	started     bool              // an endpoint list has arrived
-	failedPolls int               // consecutive failed polls of the endpoint list
-	polledAt    Time              // start of the last poll, or the last update
+	sums        weightSums          // as last made; see weightSums
+	warmLoad    stats.DecayingCount // recently accepted attempts at warm caches
+	meanWeight  float64             // of the caches in service
+	started     bool                // an endpoint list has arrived
+	failedPolls int                 // consecutive failed polls of the endpoint list
+	polledAt    Time                // start of the last poll, or the last update
 
 	nextPollFailureLine Time // before that, failed polls are not logged
 
