--- a/internal/callback/callback.go
+++ b/internal/callback/callback.go
@@ -5,7 +5,7 @@
 // Registry maps tokens to functions that have not been called yet. The zero value is empty and ready for use.
 type Registry struct {
 	functions map[int64]func()
-	last      int64 // the token assigned last
+	lastToken int64 // the token assigned last
 }
 
 // Add registers a function and returns its token. Tokens are assigned in ascending order from 1.
@@ -13,9 +13,9 @@
 	if r.functions == nil {
 		r.functions = map[int64]func(){}
 	}
-	r.last++
-	r.functions[r.last] = function
-	return r.last
+	r.lastToken++
+	r.functions[r.lastToken] = function
+	return r.lastToken
 }
 
 // Call removes the function registered under the token and calls it. An unknown token is ignored.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,13 +45,13 @@
 
 // document is the JSON form of the configuration.
 type document struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
+	Name           string          `json:"name"`
+	Listen         string          `json:"listen"`
+	Discovery      string          `json:"discovery"`
+	Seed           string          `json:"seed"`
+	Limits         Limits          `json:"limits"`
+	KnownEndpoints json.RawMessage `json:"known"`
+	Settings       json.RawMessage `json:"settings"`
 }
 
 // Parse reads a configuration and fills in its defaults. It reports an invalid
@@ -95,7 +95,7 @@
 	if err := d.Limits.validate(); err != nil {
 		return nil, err
 	}
-	known, err := parseKnown(d.Known)
+	known, err := parseKnownEndpoints(d.KnownEndpoints)
 	if err != nil {
 		return nil, err
 	}
@@ -136,9 +136,9 @@
 	return seed, nil
 }
 
-// parseKnown parses the last known endpoint list. If the configuration has none,
+// parseKnownEndpoints parses the last known endpoint list. If the configuration has none,
 // the list is empty and its version is discovery.NoVersion.
-func parseKnown(raw json.RawMessage) (discovery.EndpointList, error) {
+func parseKnownEndpoints(raw json.RawMessage) (discovery.EndpointList, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return discovery.EndpointList{Version: discovery.NoVersion}, nil
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -125,16 +125,16 @@
 // response without a change, calls are at least minCallInterval apart.
 func (c *Client) Watch(ctx context.Context, version int64, handle func(EndpointList)) error {
 	for {
-		begun := time.Now()
+		start := time.Now()
 		list, err := c.Poll(ctx, version)
 		if err != nil {
 			return err
 		}
-		hasNews := list.Version != version
+		changed := list.Version != version
 		version = list.Version
 		handle(list)
-		if !hasNews {
-			if err := sleepUntil(ctx, begun.Add(minCallInterval)); err != nil {
+		if !changed {
+			if err := sleepUntil(ctx, start.Add(minCallInterval)); err != nil {
 				return err
 			}
 		}
@@ -163,7 +163,7 @@
 	defer cancel()
 	body, err := c.fetch(ctx, c.pollURL(version))
 	if err != nil {
-		return EndpointList{}, classify(err, version)
+		return EndpointList{}, markOutOfOrder(err, version)
 	}
 	list, err := ParseEndpointList(body)
 	if err != nil {
@@ -213,9 +213,9 @@
 	return body, nil
 }
 
-// classify wraps the error in ErrOutOfOrder if the service rejected a call for
+// markOutOfOrder wraps the error in ErrOutOfOrder if the service rejected a call for
 // changes as invalid, because it may not know the version.
-func classify(err error, version int64) error {
+func markOutOfOrder(err error, version int64) error {
 	var status *StatusError
 	if version != NoVersion && errors.As(err, &status) && status.isClientError() {
 		return fmt.Errorf("%w: %w", ErrOutOfOrder, err)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -125,18 +125,18 @@
 	}
 }
 
-// TestFruitlessRepliesDoNotSpin guards against a busy loop of calls to a service that responds immediately although
+// TestUnchangedRepliesAreRateLimited guards against a busy loop of calls to a service that responds immediately although
 // the list has not changed.
-func TestFruitlessRepliesDoNotSpin(t *testing.T) {
+func TestUnchangedRepliesAreRateLimited(t *testing.T) {
 	addr, bodies := newFakeService(t)
 	lists, _ := startWatch(t, newTestClient(addr))
 	const replies = 5
-	begun := time.Now()
+	start := time.Now()
 	for range replies {
 		bodies <- listJSON(5, false)
 		receive(t, lists, "list")
 	}
-	if elapsed := time.Since(begun); elapsed < (replies-1)*minCallInterval {
+	if elapsed := time.Since(start); elapsed < (replies-1)*minCallInterval {
 		t.Errorf("%d calls within %v", replies, elapsed)
 	}
 }
--- a/internal/discovery/failure_test.go
+++ b/internal/discovery/failure_test.go
@@ -72,9 +72,9 @@
 	return ln.Addr().String()
 }
 
-// TestBrokenConnectionIsNoEnd guards against taking a list for complete that has no length and whose connection
+// TestBrokenConnectionIsNotEndOfList guards against taking a list for complete that has no length and whose connection
 // breaks, whichever error the system reports. The failure has to show that the service could be reached.
-func TestBrokenConnectionIsNoEnd(t *testing.T) {
+func TestBrokenConnectionIsNotEndOfList(t *testing.T) {
 	body := listJSON(9, true, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 	for _, wire := range []string{
 		"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body,
--- a/internal/resp/frame.go
+++ b/internal/resp/frame.go
@@ -53,12 +53,12 @@
 // MinMissingSize returns a lower bound on the number of bytes that are missing from the incomplete command
 // in b. It is at least 1. A reader that requests no more than that never reads beyond the command.
 func MinMissingSize(b []byte) int {
-	elements, size, ok := header(b, redcon.Array)
+	elements, size, ok := parseHeader(b, redcon.Array)
 	if !ok {
 		return 1
 	}
 	for rest := b[size:]; elements > 0; elements-- {
-		length, size, ok := header(rest, redcon.Bulk)
+		length, size, ok := parseHeader(rest, redcon.Bulk)
 		if !ok {
 			// At least the end of a line is missing from an element that has begun.
 			return max(1, minBulkSize-len(rest)) + (elements-1)*minBulkSize
@@ -71,10 +71,10 @@
 	return 1
 }
 
-// header parses the first line of b as the header of an array or a bulk string. It returns the length in
+// parseHeader parses the first line of b as the header of an array or a bulk string. It returns the length in
 // the header and the size of the line. ok is false if the line is incomplete, is not a header of the given
 // type, or has a length that is invalid in a command.
-func header(b []byte, kind redcon.Type) (length, size int, ok bool) {
+func parseHeader(b []byte, kind redcon.Type) (length, size int, ok bool) {
 	line, _, complete := bytes.Cut(b, lineEnd)
 	if !complete || len(line) == 0 || line[0] != byte(kind) {
 		return 0, 0, false
--- a/internal/resp/limits.go
+++ b/internal/resp/limits.go
@@ -21,7 +21,7 @@
 // at most 1.
 const maxNesting = 4
 
-// minReadSize is the initial size in bytes of the buffer for a reply.
-const minReadSize = 1 << 10
+// initialBufferSize is the initial size in bytes of the buffer for a reply.
+const initialBufferSize = 1 << 10
 
 const microsecondsPerMillisecond = 1000
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -28,7 +28,7 @@
 			return nil, nil, ErrMalformedReply
 		}
 		if len(buf) == cap(buf) {
-			buf = append(make([]byte, 0, max(minReadSize, 2*cap(buf))), buf...)
+			buf = append(make([]byte, 0, max(initialBufferSize, 2*cap(buf))), buf...)
 		}
 		n, err := r.Read(buf[len(buf):cap(buf)])
 		if err != nil {
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -25,7 +25,7 @@
 	valueElement = iota // the value of a C.GET or the acknowledgement of a C.SET
 	cacheStatusElement
 	loadElement
-	servedElements
+	servedElementCount
 )
 
 // Values of the cache status element for a value that was not cached.
@@ -56,12 +56,12 @@
 }
 
 func (r *Reply) parseArray(raw redcon.RESP) {
-	elements := make([]redcon.RESP, 0, servedElements+1)
+	elements := make([]redcon.RESP, 0, servedElementCount+1)
 	raw.ForEach(func(element redcon.RESP) bool {
 		elements = append(elements, element)
-		return len(elements) <= servedElements
+		return len(elements) <= servedElementCount
 	})
-	if !hasHeader(raw, servedElements) || !isServed(elements) {
+	if !hasHeader(raw, servedElementCount) || !isServed(elements) {
 		return
 	}
 	status := string(elements[cacheStatusElement].Data)
@@ -86,11 +86,11 @@
 // isServed reports whether an array has exactly the form of a reply to a served request. With a less
 // strict check, any array of a faulty server that begins with a string would be taken for a value.
 func isServed(elements []redcon.RESP) bool {
-	if len(elements) != servedElements || isNull(elements[valueElement]) {
+	if len(elements) != servedElementCount || isNull(elements[valueElement]) {
 		return false
 	}
 	for _, element := range elements {
-		if element.Type != redcon.Bulk || len(element.Data) > MaxValueSize || !hasProperLength(element) {
+		if element.Type != redcon.Bulk || len(element.Data) > MaxValueSize || !hasCanonicalLength(element) {
 			return false
 		}
 	}
@@ -100,9 +100,9 @@
 // nullBulk is the null bulk string.
 const nullBulk = "$-1\r\n"
 
-// hasProperLength reports whether the length of a bulk string is written as RESP specifies. redcon also
+// hasCanonicalLength reports whether the length of a bulk string is written as RESP specifies. redcon also
 // accepts a sign and leading zeros, and it accepts any negative number for the null bulk string.
-func hasProperLength(element redcon.RESP) bool {
+func hasCanonicalLength(element redcon.RESP) bool {
 	if isNull(element) {
 		return string(element.Raw) == nullBulk
 	}
--- a/internal/resp/strict_reply_test.go
+++ b/internal/resp/strict_reply_test.go
@@ -42,7 +42,7 @@
 	if _, _, err := ReadReply(iotest.OneByteReader(nested), nil); !errors.Is(err, ErrMalformedReply) {
 		t.Errorf("error %v", err)
 	}
-	if read := nested.Size() - int64(nested.Len()); read > minReadSize {
+	if read := nested.Size() - int64(nested.Len()); read > initialBufferSize {
 		t.Errorf("%d bytes of the reply were read", read)
 	}
 	if _, _, err := ReadReply(strings.NewReader("*2\r\n*1\r\n*1\r\n"), nil); !errors.Is(err, io.EOF) {
--- a/internal/simprotocol/endpoints.go
+++ b/internal/simprotocol/endpoints.go
@@ -8,7 +8,7 @@
 
 // endpointListDocument is the JSON form of an endpoint list.
 type endpointListDocument struct {
-	List      *int64             `json:"rosterId"`
+	ListID    *int64             `json:"rosterId"`
 	Endpoints []endpointDocument `json:"hosts"`
 }
 
@@ -34,7 +34,7 @@
 	if err := json.Unmarshal(body, &doc); err != nil {
 		return decodeError(err)
 	}
-	if doc.List == nil {
+	if doc.ListID == nil {
 		return &FieldError{Field: "rosterId", Reason: "missing"}
 	}
 	endpoints := make([]policy.Endpoint, 0, len(doc.Endpoints))
@@ -45,7 +45,7 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	a.endpointLists[*doc.List] = endpoints
+	a.endpointLists[*doc.ListID] = endpoints
 	return nil
 }
 
--- a/internal/simprotocol/messages.go
+++ b/internal/simprotocol/messages.go
@@ -18,33 +18,33 @@
 // message holds the fields of all messages to an instance. Each kind of message
 // uses some of them.
 type message struct {
-	Instance     *int64             `json:"i"`
-	Seed         uint64             `json:"seed"`
-	Info         json.RawMessage    `json:"info"` // settings of a new instance, or a number about the reply to an attempt
-	EndpointList int64              `json:"rosterId"`
-	UpdateKind   string             `json:"scope"`
-	RequestID    int64              `json:"tid"`
-	Class        string             `json:"tierClass"`
-	Tenant       any                `json:"tenant"`
-	Key          *uint64            `json:"entity"`
-	Deadline     int64              `json:"dropDead"`
-	Cost         int64              `json:"costGuess"`
-	Write        bool               `json:"isWrite"`
-	Cache        string             `json:"server"`
-	Attempt      int                `json:"sendNo"`
-	Result       string             `json:"stateCode"`
-	Elapsed      int64              `json:"elapsed"`
-	Final        bool               `json:"last"`
-	LoadReport   map[string]float64 `json:"feedback"`
-	TimerToken   int64              `json:"cookie"`
-	From         int                `json:"originPeer"`
-	Data         string             `json:"data"`
+	Instance   *int64             `json:"i"`
+	Seed       uint64             `json:"seed"`
+	Info       json.RawMessage    `json:"info"` // settings of a new instance, or a number about the reply to an attempt
+	ListID     int64              `json:"rosterId"`
+	UpdateKind string             `json:"scope"`
+	RequestID  int64              `json:"tid"`
+	Class      string             `json:"tierClass"`
+	Tenant     any                `json:"tenant"`
+	Key        *uint64            `json:"entity"`
+	Deadline   int64              `json:"dropDead"`
+	Cost       int64              `json:"costGuess"`
+	Write      bool               `json:"isWrite"`
+	Cache      string             `json:"server"`
+	Attempt    int                `json:"sendNo"`
+	Result     string             `json:"stateCode"`
+	Elapsed    int64              `json:"elapsed"`
+	Final      bool               `json:"last"`
+	LoadReport map[string]float64 `json:"feedback"`
+	TimerToken int64              `json:"cookie"`
+	From       int                `json:"originPeer"`
+	Data       string             `json:"data"`
 }
 
 // eventDecoders maps the name of each message that carries an event to the
 // function that decodes it.
 var eventDecoders = map[string]func(*Adapter, *message) (policy.Event, error){
-	"Registry":   (*Adapter).endpointsUpdate,
+	"Registry":   (*Adapter).decodeEndpointsUpdate,
 	"WorkItem":   decodeRequest,
 	"UnderWay":   decodeResponseStarted,
 	"AttemptEnd": decodeAttemptDone,
@@ -71,9 +71,9 @@
 	"X": policy.UpdateFailed,
 }
 
-// endpointsUpdate decodes an update of the endpoint list. The update refers to a
+// decodeEndpointsUpdate decodes an update of the endpoint list. The update refers to a
 // list that was defined before, except for the report of a failed poll or watch.
-func (a *Adapter) endpointsUpdate(m *message) (policy.Event, error) {
+func (a *Adapter) decodeEndpointsUpdate(m *message) (policy.Event, error) {
 	kind, ok := updateKinds[m.UpdateKind]
 	if !ok {
 		return nil, &FieldError{Field: "scope", Reason: fmt.Sprintf("unknown value %q", m.UpdateKind)}
@@ -81,9 +81,9 @@
 	if kind == policy.UpdateFailed {
 		return &policy.EndpointsUpdate{Kind: kind}, nil
 	}
-	endpoints, ok := a.endpointLists[m.EndpointList]
+	endpoints, ok := a.endpointLists[m.ListID]
 	if !ok {
-		return nil, &FieldError{Field: "rosterId", Reason: fmt.Sprintf("list %d was never defined", m.EndpointList)}
+		return nil, &FieldError{Field: "rosterId", Reason: fmt.Sprintf("list %d was never defined", m.ListID)}
 	}
 	return &policy.EndpointsUpdate{Kind: kind, Endpoints: endpoints}, nil
 }
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -16,8 +16,8 @@
 
 // reply builds the reply line to a batch.
 type reply struct {
-	buf      []byte
-	hasEntry bool // whether a decision has been appended
+	buf         []byte
+	hasDecision bool // whether a decision has been appended
 }
 
 func newReply(batch int64) *reply {
@@ -90,10 +90,10 @@
 
 // open begins a decision with its name and its instance.
 func (r *reply) open(name string, instance int64) {
-	if r.hasEntry {
+	if r.hasDecision {
 		r.buf = append(r.buf, ',')
 	}
-	r.hasEntry = true
+	r.hasDecision = true
 	r.buf = append(r.buf, `{"`...)
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, `":{"i":`...)
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -68,7 +68,7 @@
 
 // Read implements io.Reader. It waits until data has been received or the read deadline has passed.
 func (c *Conn) Read(b []byte) (int, error) {
-	return c.readWith(func(fd int) (int, error) { return c.readNow(fd, b) })
+	return c.readWith(func(fd int) (int, error) { return c.readNonblocking(fd, b) })
 }
 
 // ReadWhile is like Read, but calls allowed before each attempt to read from the socket. If allowed returns
@@ -80,7 +80,7 @@
 		if !allowed() {
 			return 0, os.ErrDeadlineExceeded
 		}
-		return c.readNow(fd, b)
+		return c.readNonblocking(fd, b)
 	})
 }
 
@@ -90,7 +90,7 @@
 	return c.readWith(func(fd int) (int, error) {
 		lock.Lock()
 		defer lock.Unlock()
-		n, err := c.readNow(fd, b)
+		n, err := c.readNonblocking(fd, b)
 		if n > 0 {
 			received()
 		}
@@ -102,16 +102,16 @@
 func (c *Conn) readWith(read func(fd int) (int, error)) (n int, err error) {
 	var backoff transientBackoff
 	for {
-		n, err = c.readOnceReady(read)
-		if !backoff.wait(err) {
+		n, err = c.readWhenReady(read)
+		if !backoff.waitToRetry(err) {
 			return n, err
 		}
 	}
 }
 
-// readOnceReady calls the non-blocking function read whenever the socket is readable, until it has read data
+// readWhenReady calls the non-blocking function read whenever the socket is readable, until it has read data
 // or failed. It returns io.EOF at the end of the stream.
-func (c *Conn) readOnceReady(read func(fd int) (int, error)) (n int, err error) {
+func (c *Conn) readWhenReady(read func(fd int) (int, error)) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) (done bool) {
 		n, err = read(int(fd))
 		return !errors.Is(err, syscall.EAGAIN)
@@ -132,7 +132,7 @@
 func (c *Conn) ReadAvailable(b []byte) (n int, err error) {
 	var backoff transientBackoff
 	for {
-		controlErr := c.raw.Control(func(fd uintptr) { n, err = c.readNow(int(fd), b) })
+		controlErr := c.raw.Control(func(fd uintptr) { n, err = c.readNonblocking(int(fd), b) })
 		switch {
 		case controlErr != nil:
 			return 0, controlErr
@@ -140,14 +140,14 @@
 			return 0, nil
 		case err == nil && n == 0:
 			return 0, io.EOF
-		case !backoff.wait(err):
+		case !backoff.waitToRetry(err):
 			return n, err
 		}
 	}
 }
 
-// readNow reads received bytes without blocking.
-func (c *Conn) readNow(fd int, b []byte) (n int, err error) {
+// readNonblocking reads received bytes without blocking.
+func (c *Conn) readNonblocking(fd int, b []byte) (n int, err error) {
 	err = retryInterrupted(func() error {
 		n, err = c.system.Read(fd, b)
 		return err
@@ -162,7 +162,7 @@
 	for {
 		n, err := c.writeUntilError(b[written:])
 		written += n
-		if !backoff.wait(err) {
+		if !backoff.waitToRetry(err) {
 			return written, err
 		}
 	}
@@ -173,7 +173,7 @@
 	waitErr := c.raw.Write(func(fd uintptr) (done bool) {
 		for written < len(b) && err == nil {
 			var n int
-			n, err = c.writeNow(int(fd), b[written:])
+			n, err = c.writeNonblocking(int(fd), b[written:])
 			written += n
 		}
 		if errors.Is(err, syscall.EAGAIN) {
@@ -189,7 +189,7 @@
 // buffer is full.
 func (c *Conn) TryWrite(b []byte) (n int, err error) {
 	waitErr := c.raw.Write(func(fd uintptr) (done bool) {
-		n, err = c.writeNow(int(fd), b)
+		n, err = c.writeNonblocking(int(fd), b)
 		return true
 	})
 	if errors.Is(err, syscall.EAGAIN) {
@@ -198,8 +198,8 @@
 	return n, errors.Join(waitErr, err)
 }
 
-// writeNow writes as much as fits into the send buffer, without blocking.
-func (c *Conn) writeNow(fd int, b []byte) (n int, err error) {
+// writeNonblocking writes as much as fits into the send buffer, without blocking.
+func (c *Conn) writeNonblocking(fd int, b []byte) (n int, err error) {
 	err = retryInterrupted(func() error {
 		n, err = c.system.Write(fd, b)
 		return err
@@ -276,7 +276,7 @@
 // PeerState returns the state of the peer. If the connection was closed on this side, the peer counts as
 // hung up.
 func (c *Conn) PeerState() (peer PeerState, err error) {
-	controlErr := c.raw.Control(func(fd uintptr) { peer, err = c.peerNow(int(fd)) })
+	controlErr := c.raw.Control(func(fd uintptr) { peer, err = c.pollPeer(int(fd)) })
 	if controlErr != nil {
 		return PeerState{HungUp: true}, nil
 	}
@@ -290,8 +290,8 @@
 	return peer.HungUp, err
 }
 
-// peerNow queries the state of the peer with poll.
-func (c *Conn) peerNow(fd int) (PeerState, error) {
+// pollPeer queries the state of the peer with poll.
+func (c *Conn) pollPeer(fd int) (PeerState, error) {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
 	err := retryInterrupted(func() error {
 		_, err := c.system.Poll(fds)
@@ -329,7 +329,7 @@
 // await waits until the condition holds for the state of the peer or the read deadline has passed.
 func (c *Conn) await(condition func(PeerState) bool) error {
 	return c.raw.Read(func(fd uintptr) (done bool) {
-		peer, err := c.peerNow(int(fd))
+		peer, err := c.pollPeer(int(fd))
 		return err == nil && condition(peer)
 	})
 }
--- a/internal/socket/conn_test.go
+++ b/internal/socket/conn_test.go
@@ -21,8 +21,8 @@
 	pollEvents                 int16 // if not 0, Poll reports these events instead of those of the socket
 }
 
-// takeError removes and returns the first of the errors, or returns nil if there are none.
-func takeError(errs *[]error) error {
+// popError removes and returns the first of the errors, or returns nil if there are none.
+func popError(errs *[]error) error {
 	if len(*errs) == 0 {
 		return nil
 	}
@@ -32,7 +32,7 @@
 }
 
 func (s *failingSystem) Poll(fds []unix.PollFd) (int, error) {
-	if err := takeError(&s.poll); err != nil {
+	if err := popError(&s.poll); err != nil {
 		return -1, err
 	}
 	if s.pollEvents != 0 {
@@ -43,14 +43,14 @@
 }
 
 func (s *failingSystem) Peek(fd int, b []byte) (int, error) {
-	if err := takeError(&s.peek); err != nil {
+	if err := popError(&s.peek); err != nil {
 		return -1, err
 	}
 	return s.Linux.Peek(fd, b)
 }
 
 func (s *failingSystem) UnacknowledgedBytes(fd int) (int, error) {
-	if err := takeError(&s.unacknowledged); err != nil {
+	if err := popError(&s.unacknowledged); err != nil {
 		return 0, err
 	}
 	return s.Linux.UnacknowledgedBytes(fd)
@@ -114,9 +114,9 @@
 	}
 }
 
-// TestLooksAreRepeatedWhenInterrupted guards against a wrong result of a query when a signal interrupts its
+// TestInterruptedQueriesAreRetried guards against a wrong result of a query when a signal interrupts its
 // system call.
-func TestLooksAreRepeatedWhenInterrupted(t *testing.T) {
+func TestInterruptedQueriesAreRetried(t *testing.T) {
 	interrupts := []error{syscall.EINTR, syscall.EINTR}
 	t.Run("HungUp", func(t *testing.T) {
 		system := &failingSystem{}
@@ -159,9 +159,9 @@
 	})
 }
 
-// TestFailedLooks guards against taking a failed query for a result that makes the router close a connection or
+// TestFailedQueries guards against taking a failed query for a result that makes the router close a connection or
 // write an attempt.
-func TestFailedLooks(t *testing.T) {
+func TestFailedQueries(t *testing.T) {
 	for _, failure := range []error{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINVAL} {
 		t.Run(failure.Error(), func(t *testing.T) {
 			system := &failingSystem{
@@ -201,9 +201,9 @@
 	}
 }
 
-// TestInterruptsWithoutEnd guards against an endless loop or a wrong result when a signal interrupts every
+// TestInterruptRetriesAreBounded guards against an endless loop or a wrong result when a signal interrupts every
 // attempt of a system call.
-func TestInterruptsWithoutEnd(t *testing.T) {
+func TestInterruptRetriesAreBounded(t *testing.T) {
 	system := &failingSystem{}
 	for range 10 * maxInterrupts {
 		system.poll = append(system.poll, syscall.EINTR)
--- a/internal/socket/transient.go
+++ b/internal/socket/transient.go
@@ -21,21 +21,21 @@
 // transientBackoff schedules the retries of a call that fails with transient errors. The zero value is
 // ready for use.
 type transientBackoff struct {
-	delay time.Duration
-	until time.Time // when to stop retrying; set at the first error
+	delay    time.Duration
+	giveUpAt time.Time // when to stop retrying; set at the first error
 }
 
-// wait reports whether to retry a call that returned err. Before it returns true, it waits for the
+// waitToRetry reports whether to retry a call that returned err. Before it returns true, it waits for the
 // backoff delay.
-func (b *transientBackoff) wait(err error) bool {
+func (b *transientBackoff) waitToRetry(err error) bool {
 	if !IsTransient(err) {
 		return false
 	}
 	now := time.Now()
-	if b.until.IsZero() {
-		b.until = now.Add(transientTimeout)
+	if b.giveUpAt.IsZero() {
+		b.giveUpAt = now.Add(transientTimeout)
 	}
-	if now.After(b.until) {
+	if now.After(b.giveUpAt) {
 		return false
 	}
 	b.delay = min(max(2*b.delay, minTransientBackoff), maxTransientBackoff)
--- a/internal/stats/decay.go
+++ b/internal/stats/decay.go
@@ -12,18 +12,18 @@
 }
 
 // Add decays the count to the given time and then adds one event.
-func (c *DecayingCount) Add(now, constant int64) { c.value, c.at = c.At(now, constant)+1, now }
+func (c *DecayingCount) Add(now, timeConstant int64) { c.value, c.at = c.At(now, timeConstant)+1, now }
 
 // Adjust decays the count to the given time and then adds a number of events, which may be negative. A result
 // below roundingError becomes 0, as subtracting all events may leave a rounding error.
-func (c *DecayingCount) Adjust(now, constant int64, events float64) {
-	c.value, c.at = c.At(now, constant)+events, now
+func (c *DecayingCount) Adjust(now, timeConstant int64, events float64) {
+	c.value, c.at = c.At(now, timeConstant)+events, now
 	if c.value < roundingError {
 		c.value = 0
 	}
 }
 
 // At returns the count decayed to the given time. It falls by a factor of e in each time constant.
-func (c *DecayingCount) At(now, constant int64) float64 {
-	return c.value * math.Exp(-float64(now-c.at)/float64(constant))
+func (c *DecayingCount) At(now, timeConstant int64) float64 {
+	return c.value * math.Exp(-float64(now-c.at)/float64(timeConstant))
 }
--- a/internal/stats/quantile.go
+++ b/internal/stats/quantile.go
@@ -10,16 +10,16 @@
 type Quantile struct{ estimate float64 }
 
 // Add updates the estimate of the given quantile, between 0 and 1, with a positive sample.
-func (t *Quantile) Add(sample, quantile float64) {
-	if t.estimate == 0 {
-		t.estimate = sample
+func (q *Quantile) Add(sample, quantile float64) {
+	if q.estimate == 0 {
+		q.estimate = sample
 	}
 	below := 0.0
-	if sample < t.estimate {
+	if sample < q.estimate {
 		below = 1
 	}
-	t.estimate *= 1 + quantileStep*(quantile-below)
+	q.estimate *= 1 + quantileStep*(quantile-below)
 }
 
 // Estimate returns the estimate, or 0 before the first sample.
-func (t *Quantile) Estimate() float64 { return t.estimate }
+func (q *Quantile) Estimate() float64 { return q.estimate }
