--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestParseErrorIsFieldError checks that a wrong JSON type and an invalid value are both reported as a *FieldError.
+// TestParseErrorIsFieldError checks that a wrong JSON type and an invalid value are both reported as a
+// *FieldError.
 func TestParseErrorIsFieldError(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":5`, "listen"},
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// TestBackoffIsBounded checks the bound on the number of doublings, which applies where the drain grace is 0 or long.
+// TestBackoffIsBounded checks the bound on the number of doublings, which applies where the drain grace is 0
+// or long.
 func TestBackoffIsBounded(t *testing.T) {
 	const longest = BackoffBase << MaxBackoffDoublings
 	for name, drainGrace := range map[string]policy.Time{"none": 0, "long": 10 * longest} {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestResponseSizeLimit checks with the smallest memory that a list of 1,024 endpoints with the longest names is
-// accepted, and that a list over the size limit fails the watch.
+// TestResponseSizeLimit checks with the smallest memory that a list of 1,024 endpoints with the longest names
+// is accepted, and that a list over the size limit fails the watch.
 func TestResponseSizeLimit(t *testing.T) {
 	for _, n := range []int{1024, 20 * 1024} {
 		var endpoints []string
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestRejectedVersionIsOutOfOrder checks that a 4xx status makes the client request a snapshot, and that the status
-// of an overloaded service does not.
+// TestRejectedVersionIsOutOfOrder checks that a 4xx status makes the client request a snapshot, and that the
+// status of an overloaded service does not.
 func TestRejectedVersionIsOutOfOrder(t *testing.T) {
 	for status, want := range map[int]bool{http.StatusGone: true, http.StatusBadRequest: true, http.StatusServiceUnavailable: false} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
@@ -85,8 +85,8 @@
 	}
 }
 
-// serveStalled accepts one connection, reads the request and sends the given bytes. Then it sends no more and leaves
-// the connection open until the client closes it.
+// serveStalled accepts one connection, reads the request and sends the given bytes. Then it sends no more and
+// leaves the connection open until the client closes it.
 func serveStalled(ln net.Listener, wire string) {
 	nc, err := ln.Accept()
 	if err != nil {
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestUnchangedRepliesAreRateLimited guards against a busy loop of calls to a service that responds immediately although
-// the list has not changed.
+// TestUnchangedRepliesAreRateLimited guards against a busy loop of calls to a service that responds
+// immediately although the list has not changed.
 func TestUnchangedRepliesAreRateLimited(t *testing.T) {
 	addr, bodies := newFakeService(t)
 	lists, _ := startWatch(t, newTestClient(addr))
--- a/internal/discovery/duplicate_keys_test.go
+++ b/internal/discovery/duplicate_keys_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRepeatedKeyIsRejected guards against a list with a repeated key, of which the decoder would silently use the
-// last value.
+// TestRepeatedKeyIsRejected guards against a list with a repeated key, of which the decoder would silently
+// use the last value.
 func TestRepeatedKeyIsRejected(t *testing.T) {
 	endpoints := `"endpoints":[` + endpointJSON("c1", "127.0.0.1:1", "in_service") + `]`
 	for _, raw := range []string{
--- a/internal/discovery/endpointlist_test.go
+++ b/internal/discovery/endpointlist_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// TestParseErrorNamesField checks that the error for an invalid list names the field and the endpoint's position.
+// TestParseErrorNamesField checks that the error for an invalid list names the field and the endpoint's
+// position.
 func TestParseErrorNamesField(t *testing.T) {
 	const good = `{"index":43,"snapshot":true,"endpoints":[
 		{"name":"s1","address":"127.0.0.1:1","status":"in_service"},
--- a/internal/discovery/failure_test.go
+++ b/internal/discovery/failure_test.go
@@ -18,7 +18,8 @@
 	c.http.Transport.(*http.Transport).DialContext = dial
 }
 
-// TestDialErrorsAreClassified checks that an error caused by this machine is not taken for an unavailable service.
+// TestDialErrorsAreClassified checks that an error caused by this machine is not taken for an unavailable
+// service.
 func TestDialErrorsAreClassified(t *testing.T) {
 	for errno, want := range map[syscall.Errno]Failure{
 		syscall.EADDRNOTAVAIL: LocalFault, syscall.EMFILE: LocalFault, syscall.ENETUNREACH: LocalFault,
@@ -72,8 +73,9 @@
 	return ln.Addr().String()
 }
 
-// TestBrokenConnectionIsNotEndOfList guards against taking a list for complete that has no length and whose connection
-// breaks, whichever error the system reports. The failure has to show that the service could be reached.
+// TestBrokenConnectionIsNotEndOfList guards against taking a list for complete that has no length and whose
+// connection breaks, whichever error the system reports. The failure has to show that the service could be
+// reached.
 func TestBrokenConnectionIsNotEndOfList(t *testing.T) {
 	body := listJSON(9, true, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 	for _, wire := range []string{
@@ -100,8 +102,8 @@
 	}
 }
 
-// TestRepliesAreClassified checks that an overloaded service counts as unavailable, and that a service counts as
-// reachable if it sends an invalid response.
+// TestRepliesAreClassified checks that an overloaded service counts as unavailable, and that a service counts
+// as reachable if it sends an invalid response.
 func TestRepliesAreClassified(t *testing.T) {
 	for wire, want := range map[string]Failure{
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n": Unavailable,
--- a/internal/partialsort/lowest_test.go
+++ b/internal/partialsort/lowest_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// TestLowestMatchesSort compares the result with a stable sort of all elements, for random scores and capacities.
+// TestLowestMatchesSort compares the result with a stable sort of all elements, for random scores and
+// capacities.
 func TestLowestMatchesSort(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var lowest Lowest[int]
--- a/internal/resp/frame_test.go
+++ b/internal/resp/frame_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestMinMissingSizeOfInvalidInput checks that the result stays small for bytes that are not a valid command, also where
-// computing it from their lengths would overflow.
+// TestMinMissingSizeOfInvalidInput checks that the result stays small for bytes that are not a valid command,
+// also where computing it from their lengths would overflow.
 func TestMinMissingSizeOfInvalidInput(t *testing.T) {
 	for _, b := range []string{
 		"*", "*x\r\n", "*2\r\nfoo", "*1\r\n$-1\r\n", "*99999999999999999999\r\n", "\r", "$",
--- a/internal/resp/strict_reply_test.go
+++ b/internal/resp/strict_reply_test.go
@@ -10,8 +10,9 @@
 	"marlstage/policy"
 )
 
-// TestUnusualLengthsAreNotServed guards against accepting an array as the reply to a served request although its
-// lengths are not written as RESP specifies. redcon accepts a sign, leading zeros and any negative length.
+// TestUnusualLengthsAreNotServed guards against accepting an array as the reply to a served request although
+// its lengths are not written as RESP specifies. redcon accepts a sign, leading zeros and any negative
+// length.
 func TestUnusualLengthsAreNotServed(t *testing.T) {
 	for _, wire := range []string{
 		"*+3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
--- a/internal/simprotocol/adapter_test.go
+++ b/internal/simprotocol/adapter_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestMalformedInput checks that malformed input ends the run with a one-line error that names the position, and that
-// the batches before it get replies.
+// TestMalformedInput checks that malformed input ends the run with a one-line error that names the position,
+// and that the batches before it get replies.
 func TestMalformedInput(t *testing.T) {
 	good := line("1", "1")
 	for in, want := range map[string]string{
--- a/internal/socket/conn.go
+++ b/internal/socket/conn.go
@@ -207,8 +207,8 @@
 	return max(n, 0), err
 }
 
-// NothingToRead reports whether there is nothing to read: neither unread bytes nor the end of the stream. If the
-// query failed, it returns false, and also the error if that is transient.
+// NothingToRead reports whether there is nothing to read: neither unread bytes nor the end of the stream. If
+// the query failed, it returns false, and also the error if that is transient.
 func (c *Conn) NothingToRead() (bool, error) {
 	_, err := c.peek()
 	switch {
--- a/internal/socket/conn_test.go
+++ b/internal/socket/conn_test.go
@@ -159,8 +159,8 @@
 	})
 }
 
-// TestFailedQueries guards against taking a failed query for a result that makes the router close a connection or
-// write an attempt.
+// TestFailedQueries guards against taking a failed query for a result that makes the router close a
+// connection or write an attempt.
 func TestFailedQueries(t *testing.T) {
 	for _, failure := range []error{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINVAL} {
 		t.Run(failure.Error(), func(t *testing.T) {
@@ -186,7 +186,8 @@
 	}
 }
 
-// TestBrokenConnectionIsHungUp checks that each poll event for a closed or broken connection is taken for a hangup.
+// TestBrokenConnectionIsHungUp checks that each poll event for a closed or broken connection is taken for a
+// hangup.
 func TestBrokenConnectionIsHungUp(t *testing.T) {
 	for name, events := range map[string]int16{
 		"error":  unix.POLLERR,
@@ -201,8 +202,8 @@
 	}
 }
 
-// TestInterruptRetriesAreBounded guards against an endless loop or a wrong result when a signal interrupts every
-// attempt of a system call.
+// TestInterruptRetriesAreBounded guards against an endless loop or a wrong result when a signal interrupts
+// every attempt of a system call.
 func TestInterruptRetriesAreBounded(t *testing.T) {
 	system := &failingSystem{}
 	for range 10 * maxInterrupts {
