--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,11 +1,11 @@
 package policy
 
-// Action is anything that an Engine asks for: Send, Cancel, Reject, Fail, SetTimer, HealthCheck,
-// CloseIdleConnections, Watch, LimitRequests or Log. The caller carries them out in order.
+// Action is a request of the Engine to its caller: Send, Cancel, Reject, Fail, SetTimer, HealthCheck,
+// CloseIdleConnections, Watch, LimitRequests or Log. The caller carries out actions in order.
 type Action interface{ action() }
 
-// Send starts the next attempt of a request, given up at Deadline. An attempt that has to wait for a
-// connection must not begin at StartBefore or later; 0 is no such limit.
+// Send starts the next attempt of a request, which ends at Deadline at the latest. An attempt that waits for a
+// connection must not start at StartBefore or later; 0 means no such limit.
 type Send struct {
 	ID          int64
 	Cache       string
@@ -13,19 +13,19 @@
 	StartBefore Time
 }
 
-// Cancel ends the wait for an attempt.
+// Cancel cancels a pending attempt.
 type Cancel struct {
 	ID      int64
 	Attempt int
 }
 
-// Reject is a final answer: a retry is harmless.
+// Reject is a final answer that promises that a retry is harmless.
 type Reject struct {
 	ID         int64
-	RetryAfter Time // advised wait before a retry; 0 for none
+	RetryAfter Time // advised wait before a retry; 0 means no advice
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer that does not promise that a retry is harmless.
 type Fail struct{ ID int64 }
 
 // SetTimer asks for a TimerFired event at or after At.
@@ -43,14 +43,14 @@
 // Watch asks for the endpoint list and its changes.
 type Watch struct{}
 
-// LimitRequests has the router take so many requests a second at most; 0 is no limit. Those beyond are
-// rejected before any work on them, with the advice to retry after the given time; 0 for none.
+// LimitRequests limits the requests per second that the router accepts; 0 means no limit. Requests above it are
+// rejected before any other work, with RetryAfter as the advised wait before a retry; 0 means no advice.
 type LimitRequests struct {
 	PerSecond  float64
 	RetryAfter Time
 }
 
-// Log adds a line to the log: a message, followed by its attributes, each as key=value.
+// Log adds a line to the log: a message with its attributes, each as key=value.
 type Log struct{ Text string }
 
 func (Send) action()                 {}
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -1,19 +1,20 @@
-// Attempts: sending one to a cache, and what its end teaches about the cache and the origin.
+// Attempts: sending them to caches, and updating the state of the cache and the origin from their results.
 
 package policy
 
+// attempt is one attempt of a request.
 type attempt struct {
 	cache           *cache
 	sentAt          Time
-	likelyMiss      bool // the cache was not known to have the key
-	pending         bool
-	cancelled       bool
-	neverRan        bool
-	connectionReset bool // before the reply was complete
-	harmless        bool // it ended by a network fault, or was rejected while this router's load was low
+	likelyMiss      bool // it is a read, and the cache was not known to have the key
+	pending         bool // it has not ended yet
+	cancelled       bool // a Cancel was sent for it
+	neverRan        bool // its result proves that the cache did not carry it out
+	connectionReset bool // the connection was lost before the reply was complete
+	harmless        bool // it ended in a network fault, or was rejected while this router's load was low
 }
 
-// outcome is how an attempt ended, and what this router makes of that.
+// outcome is the result of an attempt, with its evaluation by this router.
 type outcome struct {
 	*AttemptDone
 	request     *request
@@ -25,6 +26,7 @@
 	overloaded  bool // it was rejected for overload
 }
 
+// sendAttempt sends the next attempt of a request to the cache.
 func (e *Engine) sendAttempt(req *request, c *cache) {
 	n := len(req.attempts)
 	spilled := n == 0 && req.spilledOver && !c.likelyCached(req.Key)
@@ -49,6 +51,7 @@
 	e.watchAttempt(req, n)
 }
 
+// watchAttempt sets the timers by which attempt n counts as late or overdue.
 func (e *Engine) watchAttempt(req *request, n int) {
 	if e.sparseTraffic() {
 		e.schedule(min(e.now+req.class.LatencyObjective, req.Deadline-1), func() {
@@ -68,6 +71,7 @@
 	})
 }
 
+// attemptDone handles the end of an attempt.
 func (e *Engine) attemptDone(ev *AttemptDone) {
 	req := e.requests[ev.ID]
 	if req == nil || ev.Attempt < 0 || ev.Attempt >= len(req.attempts) || !req.attempts[ev.Attempt].pending {
@@ -86,30 +90,32 @@
 	case ev.Final || req.done:
 		e.finish(req)
 	case e.now >= req.Deadline:
-		e.rejectOrFail(req) // an attempt that timed out at the deadline is no final answer
+		e.rejectOrFail(req) // an attempt that timed out at the deadline gave no final answer
 	default:
 		e.dispatch(req)
 	}
 	e.dispatchQueued()
 }
 
+// judge evaluates the result of an attempt.
 func (e *Engine) judge(req *request, ev *AttemptDone) outcome {
 	a := &req.attempts[ev.Attempt]
 	o := outcome{AttemptDone: ev, request: req, attempt: a, latency: e.now - a.sentAt}
 	missLimit := e.missLatencyLimit(req, a.cache)
 	limit := e.latencyThresholdAt(a.cache, req.class)
 	if e.sparseTraffic() && ev.Miss {
-		limit = missLimit // where nearly half are misses, limits could else hardly rise
+		limit = missLimit // otherwise limits could hardly rise where nearly half of the attempts are misses
 	}
 	o.inObjective = ev.Result == Served && o.latency < req.class.LatencyObjective
 	o.timely = ev.Result == Served && o.latency < limit
 	o.fetched = ev.Result == Served && a.likelyMiss && o.latency < missLimit
-	// With fewer in flight it is no sign of overload: a cache that pauses would lose its traffic for good.
+	// With fewer attempts in flight, a rejection is no sign of overload. If it counted as one, a cache that
+	// pauses would never regain its traffic.
 	o.overloaded = ev.Result == Rejected && float64(a.cache.inFlight) > e.initialLimit(a.cache)
 	return o
 }
 
-// recordResult notes how the attempt ended and whether the cache is at fault, and releases what it took.
+// recordResult records the end of an attempt and signs of a fault of the cache, and releases its capacity.
 func (e *Engine) recordResult(o *outcome) {
 	a, c := o.attempt, o.attempt.cache
 	a.pending, a.neverRan = false, o.Result.NeverRan()
@@ -125,7 +131,7 @@
 	spent := o.latency
 	if o.Result == Rejected {
 		e.changeRecent(c, func() { c.recentRejections.Add(e.now, e.settings.OverloadTime) })
-		spent = max(spent, e.latencyThreshold) // a rejection comes at once, and so would the next attempt
+		spent = max(spent, e.latencyThreshold) // otherwise the next attempt would follow a quick rejection at once
 	}
 	c.timeTokens, c.timeTokensAt = e.availableTime(c)-float64(spent), e.now
 	switch o.Result {
@@ -137,11 +143,12 @@
 	}
 	if c.ejected && o.Result == Served {
 		c.ejected = false
-		c.concurrencyLimit = max(c.concurrencyLimit, e.initialLimit(c)/2) // half, as all routers return
+		// Only half of the initial limit, as all routers return at the same time.
+		c.concurrencyLimit = max(c.concurrencyLimit, e.initialLimit(c)/2)
 	}
 }
 
-// updateLimits moves the limits of the origin and the caches: down on overload, up where they are in use.
+// updateLimits lowers the limits of the origin and the caches in overload, and raises limits that are in use.
 func (e *Engine) updateLimits(o *outcome) {
 	c := o.attempt.cache
 	failed := o.Result == ServerError
@@ -162,6 +169,7 @@
 	}
 }
 
+// recordServed updates the state of the cache and the engine after an attempt that was served.
 func (e *Engine) recordServed(o *outcome) {
 	c := o.attempt.cache
 	c.recentKeys.Add(o.request.Key)
--- a/policy/cache.go
+++ b/policy/cache.go
@@ -1,4 +1,4 @@
-// What a router knows of a cache server.
+// The state that a router keeps for each cache.
 
 package policy
 
@@ -7,41 +7,42 @@
 	"marlstage/internal/stats"
 )
 
-const recentKeysDivisor = 4 // part of the warm-up time that is the window of a cache's recent keys
+const recentKeysDivisor = 4 // divides the warm-up time to give the window of a cache's recent keys
 
+// cache is the state of one cache server.
 type cache struct {
 	Endpoint
 	circuitBreaker
-	zone       *circuitBreaker // shared by the caches of its zone
-	group      *cacheGroup     // nil unless it is in service
-	hash       uint64
-	warmupFrom Time // assumed start of its process
-	warmAt     Time // it is warming up until then
+	zone       *circuitBreaker // circuit breaker of its zone
+	group      *cacheGroup     // nil unless the cache is in service
+	hash       uint64          // hash of its ID
+	warmupFrom Time            // start of its warm-up: the start of its process, if known
+	warmAt     Time            // end of its warm-up
 
 	healthy           bool
 	failedChecks      int  // consecutive failed health checks
-	checkRound        int  // number of the round whose check is in flight; 0 for none
+	checkRound        int  // round of the health check in flight; 0 for none
 	checkedAt         Time // start of the last check
-	nextCheckAt       Time // in a fleet too large to check in each round
-	suspect           bool // since the last check an attempt failed or got no reply
-	unconfirmedChecks int  // consecutive checks of a suspect that confirmed no fault
-	ejected           bool // it was silent for too long and has served nothing since
+	nextCheckAt       Time // next regular check, where not every round checks all caches
+	suspect           bool // an attempt since the last check failed or got no reply
+	unconfirmedChecks int  // consecutive checks as a suspect that confirmed no fault
+	ejected           bool // it was silent for too long, and has not served a request since
 
-	inFlight         int     // attempts, those of finished requests included
-	concurrencyLimit float64 // of this router; below one it is the share of time in use
+	inFlight         int     // attempts in flight, including those of finished requests
+	concurrencyLimit float64 // limit of this router; below one, the share of time that attempts may take
 	timeTokens       float64 // time earned under a limit below one, as of timeTokensAt
 	timeTokensAt     Time
-	attemptsSent     int // ever
+	attemptsSent     int // in all, for as long as the cache has been known
 	recentAttempts   stats.FadingCount
-	recentRejections stats.FadingCount // of those attempts
+	recentRejections stats.FadingCount // those of the recent attempts that were rejected
 	lastSentAt       Time
 	lastReplyAt      Time
 	lastHitOnTime    bool           // it served the last likely hit in time
-	hitLatency       stats.Quantile // of the quicker ones of its hits, in microseconds
+	hitLatency       stats.Quantile // latency of its quicker hits, in microseconds
 
-	recentKeys         stats.KeySet // served lately, so likely cached
-	loadPerCore        float64      // requests per core, by the endpoint list
-	acceptedKeyShare   float64      // share of its keys that it is still sent, as of acceptedKeyShareAt
+	recentKeys         stats.KeySet // keys that it served recently, so that they are likely cached
+	loadPerCore        float64      // requests per core, from the endpoint list
+	acceptedKeyShare   float64      // share of its keys that it is sent, as of acceptedKeyShareAt
 	acceptedKeyShareAt Time
 }
 
@@ -51,13 +52,14 @@
 	return c
 }
 
-// reset forgets what was learnt about an earlier process of the cache.
+// reset clears the state that belongs to an earlier process of the cache.
 func (c *cache) reset() {
 	c.healthy, c.failedChecks, c.connectFailures = true, 0, 0
 	c.recentKeys, c.loadPerCore, c.acceptedKeyShare = stats.NewKeySet(), 0, 1
 }
 
-// usable reports whether neither health checks nor its silence speak against the cache.
+// usable reports whether the cache is healthy and not ejected.
 func (c *cache) usable() bool { return c.healthy && !c.ejected }
 
+// likelyCached reports whether the cache served the key recently.
 func (c *cache) likelyCached(key uint64) bool { return c.recentKeys.Contains(key) }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,4 +1,4 @@
-// The endpoint list: polls, their backoff, and updates of the caches.
+// The endpoint list: polls with backoff, and updates of the caches.
 
 package policy
 
@@ -9,13 +9,13 @@
 )
 
 const (
-	maxBackoffDoublings      = 6         // of a wait between retries
-	minPollInterval     Time = 1_000_000 // assumed where the settings give less
-	pollBackoffDivisor       = 40        // part of the poll interval that the backoff starts from
+	maxBackoffDoublings      = 6         // doublings of a backoff
+	minPollInterval     Time = 1_000_000 // lower bound of Settings.PollInterval for the backoff
+	pollBackoffDivisor       = 40        // divides the poll interval to give the start of the backoff
 	pollAllowance       Time = 1_000_000 // time that a poll may take
-	minListedWeight          = 1e-3      // of a cache, so that its load stays finite
+	minListedWeight          = 1e-3      // lower bound of the listed weight, so that the load stays finite
 
-	pollFailureLineInterval Time = 10_000_000 // least time between two log lines about failed polls
+	pollFailureLineInterval Time = 10_000_000 // least time between log lines about failed polls
 )
 
 func (e *Engine) pollEndpoints() {
@@ -23,6 +23,7 @@
 	e.emit(Watch{})
 }
 
+// updateEndpoints handles an update of the endpoint list, or the failure of a poll.
 func (e *Engine) updateEndpoints(ev *EndpointsUpdate) {
 	if ev.Kind == UpdateFailed {
 		e.retryPoll()
@@ -48,7 +49,7 @@
 	}
 }
 
-// removeUnlisted removes the caches that a complete list does not have.
+// removeUnlisted removes the caches that are missing from a complete list.
 func (e *Engine) removeUnlisted(endpoints []Endpoint) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -66,7 +67,7 @@
 	}
 }
 
-// fleetChanged brings up to date what depends on all caches. added says that some have no limits yet.
+// fleetChanged updates the state that depends on all caches. added says that some caches have no limits yet.
 func (e *Engine) fleetChanged(added bool) {
 	e.rankingVersion++
 	e.sums.known = false
@@ -80,14 +81,17 @@
 	}
 }
 
-// retryPoll schedules the next poll with a backoff, as discovery serves few routers at a time.
+// retryPoll schedules the next poll with a backoff, because discovery serves few routers at a time.
 func (e *Engine) retryPoll() {
 	e.failedPolls++
 	wait := backoff(max(e.settings.PollInterval, minPollInterval), pollBackoffDivisor, e.failedPolls)
-	if e.failedPolls == 1 { // a watch that fell silent is noticed just before what it missed counts as notified
+	if e.failedPolls == 1 {
+		// A silent watch is detected only shortly before the router counts as notified of the changes it
+		// missed.
 		wait = min(wait, float64(e.settings.DrainGrace))
 	}
-	// Discovery may be back already: the next answer must come before a change that it knows counts as notified.
+	// Discovery may be reachable again. The next poll must end before the router counts as notified of a
+	// change.
 	untilDeadline := NotificationDeadline - pollAllowance - (e.now - e.polledAt)
 	wait = min(wait, float64(max(untilDeadline, pollAllowance/2)))
 	e.schedule(e.now+Time(e.rng.Jitter(wait)), e.pollEndpoints)
@@ -97,11 +101,12 @@
 	}
 }
 
-// backoff returns a wait that starts from a part of the span and doubles with each failure.
+// backoff returns a wait that starts at a part of the span and doubles with each failure.
 func backoff(span Time, divisor float64, failures int) float64 {
 	return float64(span) / divisor * math.Exp2(float64(min(failures, maxBackoffDoublings)))
 }
 
+// updateEndpoint updates or adds the cache of an endpoint, and returns it.
 func (e *Engine) updateEndpoint(endpoint Endpoint) *cache {
 	c := e.caches[endpoint.ID]
 	restarted := c == nil || endpoint.StartedAt != c.StartedAt
@@ -112,7 +117,8 @@
 		c.reset()
 	}
 	if e.settings.LiveWeights {
-		// A weight that falls with the load would move keys. The largest one seen is about the nominal one.
+		// A weight that falls under load would move keys to other caches, so the largest weight seen is used,
+		// which is close to the nominal one.
 		listed := max(endpoint.Weight, minListedWeight)
 		endpoint.Weight = max(endpoint.Weight, c.Weight)
 		e.updateLoad(c, max(0, endpoint.Weight/listed-1))
@@ -123,7 +129,7 @@
 	}
 	c.zone = cmp.Or(e.zones[endpoint.Zone], &circuitBreaker{})
 	e.zones[endpoint.Zone] = c.zone
-	// A start that is listed in the future, or again after a later one, must not change the slow start's length.
+	// A start time in the future, or an older one listed again, must not change the length of the slow start.
 	startedAt := min(endpoint.StartedAt, e.now)
 	coldAgain := restarted && endpoint.StartedAt > 0 && startedAt > c.warmupFrom
 	if coldAgain {
@@ -133,16 +139,18 @@
 	return c
 }
 
+// initializeLimits sets the limits of caches that have none yet.
 func (e *Engine) initializeLimits() {
 	for _, c := range e.inService {
 		if c.concurrencyLimit == 0 {
 			c.concurrencyLimit = e.initialLimit(c)
-			saved := maxSavedTimeShare * e.rng.Float64() // lest routers that start together send together
+			saved := maxSavedTimeShare * e.rng.Float64() // so that routers that start together do not send together
 			c.timeTokens, c.timeTokensAt = saved*float64(e.latencyThreshold), e.now
 		}
 	}
 }
 
+// start initializes the limit of the origin and the timers, after the first endpoint list.
 func (e *Engine) start() {
 	e.missRatio = 1
 	fleetLimit := initialFleetLimit * float64(len(e.inService))
@@ -153,7 +161,8 @@
 	e.schedule(e.now, e.rotateRecentKeys)
 	e.schedule(e.now, e.rotateCounts)
 	if e.settings.HealthChecksAllowed {
-		e.healthCheckBudget = e.rng.Float64() * float64(len(e.inService)) // lest routers check together
+		// A random start keeps routers from checking together.
+		e.healthCheckBudget = e.rng.Float64() * float64(len(e.inService))
 		e.schedule(e.now+Time(e.rng.Float64()*float64(e.settings.DrainGrace)), e.startHealthCheckRound)
 	}
 }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,4 +1,4 @@
-// The engine: its state, events and timers. Read the interface in api.go first.
+// The engine: its state, events and timers. The exported interface is described in api.go.
 
 package policy
 
@@ -16,64 +16,64 @@
 type Engine struct {
 	settings          Settings
 	classes           map[string]*Class
-	latencyThreshold  Time   // of the class with the shortest
-	shortestObjective Time   // latency objective of any class
-	salt              uint64 // tells this router's choices from those of others
+	latencyThreshold  Time   // shortest latency threshold of any class
+	shortestObjective Time   // shortest latency objective of any class
+	salt              uint64 // makes this router's hashes differ from those of other routers
 	rng               splitmix.Source
 
-	now     Time     // of the event being handled
-	actions []Action // for the event being handled
+	now     Time     // time of the event being handled
+	actions []Action // actions for the event being handled
 	timers  callback.Registry
 
 	caches      map[string]*cache // every cache ever listed
 	zones       map[string]*circuitBreaker
-	inService   []*cache // in the order of their identifiers
+	inService   []*cache // caches in service, ordered by ID
 	groups      cacheGroups
-	sums        weightSums        // as last made; see weightSums
+	sums        weightSums        // cached by the method weightSums
 	warmLoad    stats.FadingCount // recently accepted attempts at warm caches
-	meanWeight  float64           // of the caches in service
+	meanWeight  float64           // mean weight of the caches in service
 	started     bool              // an endpoint list has arrived
 	failedPolls int               // consecutive failed polls of the endpoint list
 	polledAt    Time              // start of the last poll, or the last update
 
-	nextPollFailureLine Time // before that, failed polls are not logged
+	nextPollFailureLine Time // failed polls are not logged before this
 
 	checkRound         int     // number of the last round of health checks
-	healthCheckBudget  float64 // health checks earned by requests and not sent yet
+	healthCheckBudget  float64 // health checks earned by requests since the last round
 	skippedIntervals   int     // health check intervals since the last round
 	requestsInInterval int     // since the last health check interval began
-	lastChecked        string  // cache with which a round had to stop; empty if it did not
+	lastChecked        string  // ID of the cache after which the next round continues; empty for a new round
 
 	requests       map[int64]*request
-	queue          []*request                 // waiting for capacity, in the order of arrival
-	rankingVersion int                        // changes with what rankings depend on
-	ranking        partialsort.Lowest[*cache] // of the last search
-	unreached      partialsort.Lowest[*cache] // of the last search, with open circuits
+	queue          []*request                 // requests that wait for capacity, in the order of arrival
+	rankingVersion int                        // incremented when rankings may change
+	ranking        partialsort.Lowest[*cache] // results of the last search, kept to reuse the memory
+	unreached      partialsort.Lowest[*cache] // the same for caches with open circuits
 	keyCounts      stats.KeyCounts            // requests by key
 	requestCounts  stats.WindowCount
-	attemptsSent   int     // ever
+	attemptsSent   int     // since the engine started
 	retryBudget    float64 // tokens for retries and hedges
 
-	missesInFlight    int     // attempts in flight that the origin likely has to serve
-	originLimit       float64 // concurrency limit of those
-	missRatio         float64 // fading share of them that the origin did serve, or failed to
-	lastOriginReplyAt Time    // when the origin last served one in time
+	missesInFlight    int     // likely misses in flight
+	originLimit       float64 // concurrency limit of likely misses
+	missRatio         float64 // moving average of the share of likely misses that were misses or failed
+	lastOriginReplyAt Time    // when the origin last served a likely miss in time
 	lastTimelyHitAt   Time    // when a hit was last served before it was overdue
-	goodputRatio      float64 // fading share of attempts at warm caches that were served in time
+	goodputRatio      float64 // moving average of the share of attempts that warm caches serve in time
 
-	admissionRatio   float64 // share of keys that is admitted, as of admissionRatioAt
+	admissionRatio   float64 // share of admitted keys, as of admissionRatioAt
 	admissionRatioAt Time
-	shedByCaches     int // requests rejected for lack of capacity of caches, in the current window
-	shedByOrigin     int // ... of the origin
-	shedding         bool
-
-	routerDelay      Time    // with which this router handles what it is given, as last reported, ...
-	routerDelayUntil Time    // ... and until when that counts
-	behindReports    int     // reports in a row by which it is behind
-	requestLimit     float64 // requests that it takes in a second; 0 is no limit
+	shedByCaches     int  // requests of the current window that were shed for lack of capacity of caches
+	shedByOrigin     int  // requests of the current window that were shed for lack of capacity of the origin
+	shedding         bool // requests were shed in the last window
+
+	routerDelay      Time    // last reported delay of requests on this router
+	routerDelayUntil Time    // when routerDelay ceases to apply
+	behindReports    int     // consecutive reports of an overload of this router
+	requestLimit     float64 // limit on requests per second; 0 means no limit
 }
 
-// New returns an engine for the settings. Wrong settings give ErrNoClasses or a *SettingsError.
+// New returns an engine for the settings. For invalid settings the error is ErrNoClasses or a *SettingsError.
 func New(s Settings, seed uint64) (*Engine, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 	return e, nil
 }
 
-// Handle takes one event and returns what is to be done, in order.
+// Handle processes one event and returns the actions to carry out, in order.
 func (e *Engine) Handle(now Time, ev Event) []Action {
 	e.now, e.actions = now, nil
 	e.settleWarmedUp()
@@ -127,10 +127,10 @@
 
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-// logf logs a message that is followed by its attributes, each as key=value.
+// logf logs a message with its attributes, each as key=value.
 func (e *Engine) logf(format string, args ...any) { e.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// schedule calls the function at the given time, but not within the event being handled.
+// schedule has f called at the given time, but not before the current event has been handled.
 func (e *Engine) schedule(at Time, f func()) { e.emit(SetTimer{e.timers.Add(f), max(at, e.now+1)}) }
 
 func mix(x uint64) uint64 { return splitmix.Mix(x) }
@@ -138,12 +138,13 @@
 // hashToUnit maps a key to [0, 1).
 func hashToUnit(key uint64) float64 { return splitmix.Unit(mix(key)) }
 
-// countWindow is the length of a window of counts. It is longer where each of many routers sees few requests.
+// countWindow returns the length of a window of counts. With many routers it is longer, as each sees few
+// requests.
 func (e *Engine) countWindow() Time {
 	return Time(float64(e.settings.DrainGrace) * math.Sqrt(max(1, float64(e.settings.Routers)/4)))
 }
 
-// rotateCounts opens a new window of the counts of requests, and logs where load shedding begins or ends.
+// rotateCounts starts a new window of the request counts, and logs the start or the end of load shedding.
 func (e *Engine) rotateCounts() {
 	e.keyCounts.Rotate()
 	e.requestCounts.Rotate()
@@ -155,7 +156,7 @@
 	e.schedule(e.now+2*e.countWindow(), e.rotateCounts)
 }
 
-// rotateRecentKeys opens a new window of the keys that caches have served, and forgets caches that are gone.
+// rotateRecentKeys starts a new window of the keys that caches have served, and drops caches that are gone.
 func (e *Engine) rotateRecentKeys() {
 	for id, c := range e.caches {
 		if c.State == Removed && c.inFlight == 0 && c.recentKeys.Empty() {
@@ -166,8 +167,9 @@
 	e.schedule(e.now+max(e.settings.WarmupTime/recentKeysDivisor, e.countWindow()), e.rotateRecentKeys)
 }
 
-// routerShare is this router's part of a fleet-wide limit of one.
+// routerShare returns this router's part of a fleet-wide limit of one.
 func (e *Engine) routerShare() float64 { return 1 / float64(max(1, e.settings.Routers)) }
 
-// sparseTraffic reports whether this router sends single caches so little that it learns little about them.
+// sparseTraffic reports whether this router sends each cache too few requests to learn much about it, as one of
+// many routers.
 func (e *Engine) sparseTraffic() bool { return e.limitStep() < 1 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -4,7 +4,7 @@
 // *ClientGone, *TimerFired, *HealthCheckDone, *DelayReport or *PeerMessage.
 type Event interface{ event() }
 
-// EndpointState is what the endpoint list says of a cache.
+// EndpointState is the state of a cache in the endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
@@ -20,7 +20,7 @@
 	Zone      string
 	Group     int
 	Weight    float64
-	StartedAt Time // last start; 0 is long ago
+	StartedAt Time // last start of the cache; 0 means long ago
 	State     EndpointState
 }
 
@@ -29,10 +29,10 @@
 
 // The kinds of an update.
 const (
-	UpdateDelta    UpdateKind = iota // the changed endpoints only
-	UpdateSnapshot                   // every cache there is
-	UpdateStale                      // every cache, as last known; may be old
-	UpdateFailed                     // a poll failed or the watch broke; no endpoints
+	UpdateDelta    UpdateKind = iota // only the changed endpoints
+	UpdateSnapshot                   // all endpoints
+	UpdateStale                      // all endpoints as last known, which may be outdated
+	UpdateFailed                     // no endpoints, as a poll failed or a watch ended
 )
 
 // EndpointsUpdate is an update of the endpoint list.
@@ -41,28 +41,29 @@
 	Endpoints []Endpoint
 }
 
-// Request asks for one final answer before Deadline.
+// Request is a client's request. It must get one final answer before Deadline.
 type Request struct {
 	ID       int64
 	Class    string
 	Tenant   string
-	Key      uint64
+	Key      uint64 // only valid with HasKey
 	HasKey   bool
 	Deadline Time
-	Cost     Time // expected work; 0 where unknown
-	Write    bool // goes on to the origin
+	Cost     Time // expected work; 0 if unknown
+	Write    bool // passed on to the origin
 }
 
-// ResponseStarted says that a streamed response has begun: it belongs to the client now.
+// ResponseStarted reports that a streamed response has begun to reach the client, so that the request can no
+// longer be retried, rejected or failed.
 type ResponseStarted struct {
 	ID      int64
 	Attempt int
 }
 
-// Result tells how an attempt or a health check ended.
+// Result is the result of an attempt or a health check.
 type Result uint8
 
-// The results. Those that do not prove that the request never ran leave it open.
+// The results. Each either proves that the request never ran, or leaves open whether it did.
 const (
 	Served         Result = iota
 	ServerError           // may have run
@@ -88,10 +89,10 @@
 	return r == Rejected || r == ConnectFailed || r == NotSent || r == NotStored
 }
 
-// LoadReport is a cache's report on itself. Utilization is below 0 where it was not reported.
+// LoadReport is a load report of a cache. Utilization is negative if it was not reported.
 type LoadReport struct{ Utilization, ErrorRate float64 }
 
-// AttemptDone tells how an attempt ended. Final means that nothing more is owed to the client.
+// AttemptDone reports the end of an attempt. Final means that the request needs no further reply to the client.
 type AttemptDone struct {
 	ID      int64
 	Attempt int
@@ -102,13 +103,13 @@
 	Load    LoadReport
 }
 
-// ClientGone says that the client has gone: it is owed nothing more.
+// ClientGone reports that the client has gone, so that the request needs no reply.
 type ClientGone struct{ ID int64 }
 
-// TimerFired is the echo of a SetTimer.
+// TimerFired reports that the timer of a SetTimer with the same token has expired.
 type TimerFired struct{ Token int64 }
 
-// HealthCheckDone tells how a health check ended.
+// HealthCheckDone reports the end of a health check.
 type HealthCheckDone struct {
 	Cache   string
 	Result  Result
@@ -116,15 +117,15 @@
 	Load    LoadReport
 }
 
-// DelayReport tells how late the router has handled the requests since the last report.
+// DelayReport reports the delay with which the router has handled requests since the last report.
 type DelayReport struct {
-	Span       Time // since the last report
-	LeastDelay Time // of a request from when it was read to when it was handled; 0 if there was none
+	Span       Time // time since the last report
+	LeastDelay Time // least delay of a request from being read to being handled; 0 without requests
 	Taken      int  // requests that were handled
-	Rejected   int  // requests beyond the limit of LimitRequests, which were not
+	Rejected   int  // requests that were rejected because of LimitRequests
 }
 
-// PeerMessage comes from another router. The policy shares nothing and ignores it.
+// PeerMessage is a message from another router. The policy sends none, and ignores them.
 type PeerMessage struct {
 	From int
 	Data string
--- a/policy/groups.go
+++ b/policy/groups.go
@@ -1,4 +1,4 @@
-// Groups of the caches in service that are alike, so that a search passes over many caches at once.
+// Groups of similar caches in service, which let a search skip many caches at once.
 
 package policy
 
@@ -9,26 +9,26 @@
 	"strings"
 )
 
-// groupKey is what the caches of a group have in common.
+// groupKey holds the properties that the caches of a group share.
 type groupKey struct {
 	zone           *circuitBreaker
-	weightExponent int // binary
+	weightExponent int // binary exponent of the weight
 	warmingUp      bool
 }
 
-// cacheGroup holds caches in service. Those that are warming up are in the order of their starts.
+// cacheGroup holds similar caches in service. Caches that are warming up are ordered by their start times.
 type cacheGroup struct {
 	groupKey
-	maxWeight float64 // no cache of the group has a larger one
+	maxWeight float64 // upper bound of the weights in the group
 	caches    []*cache
-	hashes    []uint64 // of the caches
+	hashes    []uint64 // hashes of the caches, in the same order
 }
 
 // cacheGroups holds all caches in service. The zero value is empty.
 type cacheGroups struct {
 	groups     []*cacheGroup
 	byKey      map[groupKey]*cacheGroup
-	nextWarmAt Time // when the next cache has warmed up
+	nextWarmAt Time // when the next cache will be warm
 }
 
 func (e *Engine) groupKeyOf(c *cache) groupKey {
@@ -36,7 +36,7 @@
 	return groupKey{c.zone, exponent, e.now < c.warmAt}
 }
 
-// add puts a cache into a group.
+// add adds a cache to the group with the key, which it creates if needed.
 func (g *cacheGroups) add(c *cache, key groupKey) {
 	group := g.byKey[key]
 	if group == nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// remove takes a cache out of its group, if it is in one.
+// remove removes a cache from its group, if it has one.
 func (g *cacheGroups) remove(c *cache) {
 	group := c.group
 	if group == nil {
@@ -74,6 +74,7 @@
 	}
 }
 
+// insert adds a cache to the group, at its place in the order.
 func (g *cacheGroup) insert(c *cache) {
 	i := len(g.caches)
 	if g.warmingUp {
@@ -93,8 +94,7 @@
 	}
 }
 
-// regroup puts a cache into the group that it belongs to by now. restarted says that its start time has
-// changed.
+// regroup moves a cache to the group that it now belongs to. restarted says that its start time has changed.
 func (e *Engine) regroup(c *cache, restarted bool) {
 	if c.State != InService {
 		e.leaveService(c)
@@ -115,7 +115,7 @@
 	}
 }
 
-// leaveService takes a cache out of those in service, if it is one of them.
+// leaveService removes a cache from those in service, if it is one of them.
 func (e *Engine) leaveService(c *cache) {
 	e.leaveGroup(c)
 	if i, found := e.findInService(c.ID); found {
@@ -123,6 +123,7 @@
 	}
 }
 
+// leaveGroup removes a cache from its group and, if it counted as warm, its attempts from warmLoad.
 func (e *Engine) leaveGroup(c *cache) {
 	if c.isWarmMember() {
 		e.warmLoad.Adjust(e.now, e.settings.OverloadTime, -e.recentlyAccepted(c))
@@ -130,6 +131,7 @@
 	e.groups.remove(c)
 }
 
+// findInService returns the index of a cache in inService, or the index to insert it at.
 func (e *Engine) findInService(id string) (index int, found bool) {
 	byID := func(c *cache, id string) int { return strings.Compare(c.ID, id) }
 	return slices.BinarySearchFunc(e.inService, id, byID)
@@ -138,7 +140,7 @@
 // isWarmMember reports whether the cache is in service and counts as warm.
 func (c *cache) isWarmMember() bool { return c.group != nil && !c.group.warmingUp }
 
-// settleWarmedUp moves the caches that have warmed up to the groups of warm ones.
+// settleWarmedUp moves caches whose warm-up has ended to groups of warm caches.
 func (e *Engine) settleWarmedUp() {
 	if len(e.groups.groups) == 0 || e.now < e.groups.nextWarmAt {
 		return
@@ -158,7 +160,8 @@
 	e.sums.known = false
 }
 
-// changeRecent has a change made to what counts as recently accepted by a cache.
+// changeRecent calls change, which changes the recent attempts or rejections of a cache, and updates warmLoad
+// by the difference.
 func (e *Engine) changeRecent(c *cache, change func()) {
 	before := e.recentlyAccepted(c)
 	change()
@@ -167,14 +170,14 @@
 	}
 }
 
-// weightSums are sums of the weights of the caches in service.
+// weightSums holds cached sums of the weights of the caches in service.
 type weightSums struct {
-	known                  bool // nothing has changed since they were made
+	known                  bool // the sums are up to date
 	total, warm, warmingUp float64
 }
 
-// weightSums returns the sums. They are made in the order of the caches, as rounding must not differ between
-// equal routers.
+// weightSums returns the sums, and updates them first if needed. It adds the weights in the order of the
+// caches, so that rounding does not differ between equal routers.
 func (e *Engine) weightSums() *weightSums {
 	if e.sums.known {
 		return &e.sums
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,4 +1,4 @@
-// Health: periodic checks, ejection of caches that fall silent, and circuit breakers of unreachable ones.
+// Health: periodic checks, ejection of silent caches, and circuit breakers of unreachable caches and zones.
 
 package policy
 
@@ -8,23 +8,24 @@
 )
 
 const (
-	defaultDrainGrace = Time(1_000_000) // where the settings leave it out
-
-	unhealthyThreshold   = 2    // consecutive failed checks that mark a cache unhealthy
-	healthCheckCostShare = .01  // points that checks may cost per request before rounds are skipped
-	minHealthCheckCost   = 1e-9 // assumed price of a check, so that the budget stays finite
-	maxSkippedIntervals  = 64   // consecutive, for a router with next to no requests
-	maxFleetChecks       = 96   // of a cache by all routers in an interval of 1.5 s: 3% of 4 cores
-	minChecksAtOnce      = 200  // checks that a router may send at once, however few its requests are
-
-	connectFailureThreshold = 2 // consecutive failed connections that open the circuit of a cache
-	zoneFailureThreshold    = 3 // ... and of a zone
-	cacheTrialDivisor       = 8 // part of the warm-up time from which the wait for a cache's trial doubles
-	zoneTrialDivisor        = 4 // part of the warm-up time until the trial of a zone
+	defaultDrainGrace = Time(1_000_000) // if it is not set
+
+	unhealthyThreshold   = 2    // consecutive failed checks after which a cache is unhealthy
+	healthCheckCostShare = .01  // cost of checks per request above which rounds are skipped
+	minHealthCheckCost   = 1e-9 // lower bound of the cost of a check, so that the budget stays finite
+	maxSkippedIntervals  = 64   // upper bound of consecutive skipped rounds, for a router with almost no requests
+	maxFleetChecks       = 96   // checks of a cache by all routers in an interval; at 1.5 s they take 3% of 4 cores
+	minChecksAtOnce      = 200  // checks that a router may send at once, even with few requests
+
+	connectFailureThreshold = 2 // consecutive connect failures that open the circuit of a cache
+	zoneFailureThreshold    = 3 // consecutive connect failures that open the circuit of a zone
+	cacheTrialDivisor       = 8 // divides the warm-up time to give the first backoff of a cache's trial request
+	zoneTrialDivisor        = 4 // divides the warm-up time to give the wait for a zone's trial request
 )
 
-// HealthCheckTimeout is how long a cache may take to answer a health check: half of the drain grace, so as to
-// act upon faults within that, or the shortest latency objective if longer, as it may serve for so long.
+// HealthCheckTimeout returns how long a cache may take to answer a health check. It is half of the drain
+// grace, so that faults are acted upon within that time, or the shortest latency objective if that is longer,
+// because a working cache may take that long.
 func (s *Settings) HealthCheckTimeout() Time {
 	objective := Time(math.MaxInt64)
 	for _, class := range s.Classes {
@@ -33,15 +34,16 @@
 	return max(s.drainGraceOrDefault()/2, objective)
 }
 
-// HealthCheckInterval is the least time between two rounds of health checks. The earlier one is over by then.
+// HealthCheckInterval returns the least time between the starts of two rounds of health checks. It exceeds
+// HealthCheckTimeout, so that a round is over when the next one starts.
 func (s *Settings) HealthCheckInterval() Time {
 	return max(s.drainGraceOrDefault(), s.HealthCheckTimeout()+1)
 }
 
 func (s *Settings) drainGraceOrDefault() Time { return cmp.Or(s.DrainGrace, defaultDrainGrace) }
 
-// startHealthCheckRound checks the caches that are due, if the requests since the last round pay for a check
-// of each: in a large fleet checks could cost more than they save.
+// startHealthCheckRound checks the caches that are due if the requests since the last round have earned enough
+// budget to check every cache. In a large fleet checks could otherwise cost more than they save.
 func (e *Engine) startHealthCheckRound() {
 	e.schedule(e.now+e.settings.HealthCheckInterval(), e.startHealthCheckRound)
 	e.skippedIntervals++
@@ -49,7 +51,7 @@
 	e.requestsInInterval = 0
 	paid := e.healthCheckBudget >= float64(len(e.inService)) || e.skippedIntervals >= maxSkippedIntervals
 	switch {
-	case e.lastChecked != "": // the round goes on where the last one had to stop
+	case e.lastChecked != "": // the last round reached its limit, and this one continues it
 	case paid:
 		e.healthCheckBudget, e.skippedIntervals = 0, 0
 	default:
@@ -58,7 +60,7 @@
 	e.sendHealthChecks(atOnce)
 }
 
-// sendHealthChecks checks the caches that are due, from where the last round stopped, up to a number of them.
+// sendHealthChecks checks up to atOnce of the caches that are due, from where the last round stopped.
 func (e *Engine) sendHealthChecks(atOnce int) {
 	e.checkRound++
 	round := e.checkRound
@@ -80,7 +82,7 @@
 	}
 	e.schedule(e.now+e.settings.HealthCheckTimeout(), func() {
 		for _, c := range e.inService {
-			if c.checkRound == round { // no answer in time
+			if c.checkRound == round { // it did not answer in time
 				c.checkRound = 0
 				c.failedChecks++
 			}
@@ -91,9 +93,10 @@
 	})
 }
 
-// healthCheckDue reports whether a round checks the cache. Above maxFleetChecks, caches that pass are checked
-// less often, by each router at a time of its own. A suspect is checked in the next round, and then with a
-// backoff while no fault is confirmed: in overload every cache is suspect.
+// healthCheckDue reports whether a round checks the cache. If the checks of all routers would exceed
+// maxFleetChecks, healthy caches are checked less often, by each router at a different time. A suspect cache is
+// checked in the next round, and then with a backoff while no check confirms a fault, because in overload every
+// cache is suspect.
 func (e *Engine) healthCheckDue(c *cache) bool {
 	interval := float64(e.settings.HealthCheckInterval())
 	spread := interval * float64(e.settings.Routers) / maxFleetChecks
@@ -120,10 +123,11 @@
 	return true
 }
 
+// healthCheckDone handles the result of a health check.
 func (e *Engine) healthCheckDone(ev *HealthCheckDone) {
 	c := e.caches[ev.Cache]
 	if c == nil || c.checkRound == 0 {
-		return // too late: its round is over
+		return // the round of the check is over
 	}
 	c.checkRound = 0
 	if ev.Result != Served {
@@ -134,7 +138,7 @@
 	}
 	c.failedChecks = 0
 	if (c.ejected || e.sparseTraffic()) && ev.Elapsed < e.latencyThreshold {
-		// Its overload is over. With a low limit, the few attempts would be late to reveal that.
+		// The overload of the cache is over. A low limit allows too few attempts to show that soon.
 		c.concurrencyLimit, c.ejected = max(c.concurrencyLimit, e.initialLimit(c)), false
 	}
 	if !c.healthy {
@@ -147,8 +151,8 @@
 	e.logf("cache health changed cache=%s healthy=%t failed_checks=%d", c.ID, healthy, c.failedChecks)
 }
 
-// eject marks a cache that has been silent for as long as an attempt may take. A limit below one falls to the
-// minimum at once: each halving would cost each of many routers one more attempt.
+// eject ejects a cache that has been silent for as long as an attempt may take. A limit below one falls to the
+// minimum at once, because each halving would cost each of many routers one more attempt.
 func (e *Engine) eject(c *cache) {
 	c.lastHitOnTime, c.ejected = false, true
 	e.adjustCacheLimit(c, false)
@@ -158,13 +162,15 @@
 	}
 }
 
-// circuitBreaker counts failed connections. While it is open, one request at a time is the half-open trial.
+// circuitBreaker counts connect failures of a cache or a zone. An open one lets single trial requests pass,
+// each after a wait.
 type circuitBreaker struct {
-	connectFailures int // consecutive
-	halfOpenAt      Time
+	connectFailures int  // consecutive
+	halfOpenAt      Time // when the next trial request may be sent
 }
 
-// noteConnect records whether an attempt reached the cache, and its zone: a partition shows there first.
+// noteConnect records, for a cache and its zone, whether an attempt could connect. In a partition the circuit
+// of the zone opens first.
 func (e *Engine) noteConnect(c *cache, connected bool) {
 	if connected {
 		c.connectFailures, c.zone.connectFailures = 0, 0
@@ -179,16 +185,18 @@
 	c.zone.halfOpenAt = e.zoneTrialAt()
 }
 
-// delayTrial sets the next trial of a cache: later with each failure, and not when other routers try.
+// delayTrial sets the time of the next trial request to a cache, with an exponential backoff, and with jitter
+// so that routers do not try at the same time.
 func (e *Engine) delayTrial(c *cache) {
 	wait := backoff(e.settings.WarmupTime, cacheTrialDivisor, c.connectFailures)
 	c.halfOpenAt = e.now + Time(e.rng.Jitter(wait))
 }
 
+// zoneTrialAt returns the time of the next trial request to a zone.
 func (e *Engine) zoneTrialAt() Time { return e.now + e.settings.WarmupTime/zoneTrialDivisor }
 
-// circuitOpen reports whether a cache or its zone counts as unreachable. With an old endpoint list, requests
-// would else use up their attempts on caches that are gone.
+// circuitOpen reports whether a cache or its zone counts as unreachable. Without circuit breakers, an outdated
+// endpoint list would make requests use up their attempts on caches that are gone.
 func (e *Engine) circuitOpen(c *cache) bool {
 	return e.breakerOpen(&c.circuitBreaker, connectFailureThreshold) ||
 		e.breakerOpen(c.zone, zoneFailureThreshold)
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -1,32 +1,34 @@
-// Limits: how many attempts a cache gets, and which share of the keys is admitted or sent to a loaded cache.
+// Limits: the concurrency limits of caches, and the shares of keys that are admitted or sent to a loaded cache.
 
 package policy
 
 import "math"
 
 const (
-	initialFleetLimit   = 8   // attempts in flight at a cache, over all routers, before anything is known
-	minLimit            = .1  // where a limit stops falling, in steps; below one it is the share of time in use
+	initialFleetLimit   = 8   // initial concurrency limit of a cache, over all routers
+	minLimit            = .1  // least limit, in steps; below one, a limit is the share of time in use
 	limitDecrease       = .5  // steps by which one overdue attempt lowers a limit
-	toleratedLateShare  = .2  // share of overdue attempts at which a limit stays as it is
-	sharedVerdictWeight = .3  // weight of a verdict at all other caches together, for each router
-	maxSavedTimeShare   = .25 // of the latency threshold that time tokens save up: about one short attempt
-	slowHitFactor       = 2   // multiple of a cache's quicker hits after which an attempt there is overdue ...
-	maxThresholdShare   = .9  // ... but at most this share of the latency objective
-	hitLatencyQuantile  = .25 // share of hits that count as the quicker ones
-	connectionCostUnit  = 100 // connections at a cache that ConnectionCost is the price of
-
-	admissionStep       = .1  // part by which one late attempt lowers the share of keys that is admitted
-	admissionRecovery   = 4   // drain graces in which that share grows e-fold by itself
-	minAdmissionRatio   = .2  // least share of keys that is admitted
-	overloadThreshold   = 1.5 // requests per core, by the endpoint list, above which a cache sheds keys ...
-	loadDropRatio       = .8  // ... unless the load is below this part of the one listed before
+	toleratedLateShare  = .2  // share of overdue attempts at which a limit stays constant
+	sharedVerdictWeight = .3  // total weight of an outcome at all other caches, for each router
+	maxSavedTimeShare   = .25 // share of the latency threshold that time tokens can reach: about one short attempt
+	slowHitFactor       = 2   // multiple of a cache's quicker hits after which an attempt there is overdue
+	maxThresholdShare   = .9  // share of the latency objective that the threshold of a cache can reach
+	hitLatencyQuantile  = .25 // quantile of the latency of hits that stands for the quicker ones
+	connectionCostUnit  = 100 // connections per cache that ConnectionCost is the cost of
+
+	admissionStep       = .1  // part by which one late attempt lowers the share of admitted keys
+	admissionRecovery   = 4   // drain graces in which the share of admitted keys grows e-fold without attempts
+	minAdmissionRatio   = .2  // least share of admitted keys
+	overloadThreshold   = 1.5 // requests per core, from the endpoint list, above which a cache is sent fewer keys
+	loadDropRatio       = .8  // a load below this part of the last one listed does not lower the share of keys
 	minAcceptedKeyShare = .02 // least share of its keys that a cache is sent
 )
 
-// limitStep is the unit by which a verdict moves a limit: one attempt, or less for each of many routers.
+// limitStep returns the unit in which limits change: one attempt, or less where there are many routers.
 func (e *Engine) limitStep() float64 { return min(1, initialFleetLimit*e.routerShare()) }
 
+// initialLimit returns this router's concurrency limit for a cache that it has not used yet, in proportion to
+// the cache's weight.
 func (e *Engine) initialLimit(c *cache) float64 {
 	limit := initialFleetLimit * e.routerShare()
 	if e.meanWeight > 0 && c.Weight > 0 {
@@ -35,8 +37,9 @@
 	return limit
 }
 
-// hasCapacity reports whether the limit allows one more attempt. A limit below one leaves gaps: one attempt
-// of each router at all times keeps an overloaded cache slow. With many routers, gaps grow with the latency.
+// hasCapacity reports whether the limit allows one more attempt. A limit below one requires pauses between
+// attempts, because an overloaded cache stays slow if each router always has one attempt in flight there. In
+// sparse traffic the pauses grow with the latency of the attempts.
 func (e *Engine) hasCapacity(c *cache) bool {
 	if c.concurrencyLimit >= 1 {
 		return float64(c.inFlight) < c.concurrencyLimit
@@ -47,12 +50,15 @@
 	return c.inFlight == 0 && e.availableTime(c) > 0
 }
 
+// availableTime returns the balance of a cache's time tokens: the time earned under a limit below one, less the
+// time that past attempts took.
 func (e *Engine) availableTime(c *cache) float64 {
 	earned := min(c.concurrencyLimit, 1) * float64(e.now-c.timeTokensAt)
 	return min(maxSavedTimeShare*float64(e.latencyThreshold), c.timeTokens+earned)
 }
 
-// adjustLimit moves a limit by the verdict on one attempt. It rests where a tolerated share is overdue.
+// adjustLimit raises or lowers a limit after one attempt. The limit stays constant on average where the
+// tolerated share of attempts is overdue.
 func (e *Engine) adjustLimit(limit *float64, good bool, tolerated float64) {
 	step := e.limitStep()
 	if good {
@@ -66,8 +72,9 @@
 	e.adjustLimit(&c.concurrencyLimit, good, toleratedLateShare)
 }
 
-// adjustAllLimits lets a verdict on one cache count in part at all others, as learning of a surge from each
-// cache apart takes too long. What it lowers stays above one attempt of all routers, or the initial limit.
+// adjustAllLimits applies a part of the outcome of an attempt to the limits of all caches, because detecting a
+// surge at each cache separately takes too long. It lowers no limit below one attempt of all routers together,
+// or below the initial limit in sparse traffic.
 func (e *Engine) adjustAllLimits(good bool) {
 	weight := sharedVerdictWeight * float64(e.settings.Routers)
 	share := weight / (weight + float64(len(e.inService)))
@@ -83,11 +90,12 @@
 	}
 }
 
-// latencyThreshold is how long an attempt may take before it counts as overdue.
+// latencyThreshold returns how long an attempt may take before it counts as overdue.
 func (c *Class) latencyThreshold() Time { return max(c.LatencyObjective/2, 1) }
 
-// latencyThresholdAt is the latency threshold at one cache. It is higher at one whose quicker hits are slow:
-// its limit would else fall to next to nothing. Sparse traffic shows too few hits of one cache.
+// latencyThresholdAt returns the latency threshold at one cache. It is higher for a cache whose quicker hits
+// are slow, as the limit of such a cache would otherwise fall to almost zero. In sparse traffic a router sees
+// too few hits of one cache for that.
 func (e *Engine) latencyThresholdAt(c *cache, class *Class) Time {
 	if e.sparseTraffic() {
 		return class.latencyThreshold()
@@ -97,20 +105,22 @@
 }
 
 // shouldCloseIdle reports whether an idle connection to the cache costs more than the handshake that it saves
-// when this router comes back. At even shares it costs Routers/100 times as much.
+// for the next attempt. If all caches get equal shares of the attempts, the connection costs Routers/100 times
+// ConnectionCost, and the handshake HandshakeCost.
 func (e *Engine) shouldCloseIdle(c *cache) bool {
 	reuse := float64(c.attemptsSent-1) / float64(e.attemptsSent) * float64(len(e.inService))
 	idleCost := e.settings.ConnectionCost * float64(e.settings.Routers)
 	return idleCost > connectionCostUnit*e.settings.HandshakeCost*reuse
 }
 
-// currentAdmission is the share of keys that is admitted. It grows by itself too: a router that admits next
-// to nothing would not learn that the overload is over.
+// currentAdmission returns the share of admitted keys. It also grows with time, because a router that admits
+// almost nothing would not notice the end of an overload.
 func (e *Engine) currentAdmission() float64 {
 	recovery := float64(admissionRecovery * e.settings.DrainGrace)
 	return min(1, e.admissionRatio*math.Exp(float64(e.now-e.admissionRatioAt)/recovery))
 }
 
+// updateAdmission raises or lowers the share of admitted keys after one attempt.
 func (e *Engine) updateAdmission(inTime bool) {
 	factor := 1 - admissionStep
 	if inTime {
@@ -119,7 +129,8 @@
 	e.admissionRatio, e.admissionRatioAt = max(minAdmissionRatio, min(1, e.currentAdmission()*factor)), e.now
 }
 
-// updateLoad takes the load of a cache from the endpoint list: one router's own attempts tell of it too late.
+// updateLoad sets the load of a cache from the endpoint list, and lowers its share of keys in overload. The
+// attempts of a single router would reveal the overload too late.
 func (e *Engine) updateLoad(c *cache, load float64) {
 	c.acceptedKeyShare, c.acceptedKeyShareAt = e.currentKeyShare(c), e.now
 	if load > overloadThreshold && load > loadDropRatio*c.loadPerCore {
@@ -128,7 +139,8 @@
 	c.loadPerCore = load
 }
 
-// currentKeyShare is the share of its keys that a cache is sent. It grows back while there is no overload.
+// currentKeyShare returns the share of its keys that a cache is sent. It grows back while the cache is not
+// overloaded.
 func (e *Engine) currentKeyShare(c *cache) float64 {
 	if c.loadPerCore > overloadThreshold {
 		return c.acceptedKeyShare
@@ -138,8 +150,8 @@
 	return min(1, c.acceptedKeyShare*growth)
 }
 
-// acceptsKey reports whether this router sends the key to the cache. Each router makes its own, lasting
-// choice, so that together they spread a hot key over as many caches as it takes.
+// acceptsKey reports whether this router sends the key to the cache. The result differs between routers but
+// stays the same for one, so that the routers together spread a hot key over as many caches as it needs.
 func (e *Engine) acceptsKey(c *cache, key uint64) bool {
 	return !e.sparseTraffic() || hashToUnit(key^c.hash^e.salt) < e.currentKeyShare(c)
 }
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -1,30 +1,32 @@
-// The origin: which attempts it likely has to serve, and the limit on those.
+// The origin: prediction of the attempts that are misses, and the limit on them.
 
 package policy
 
 const (
 	minOriginLimit           = 1   // least limit on likely misses in flight
-	toleratedOriginLateShare = .15 // share of overdue likely misses at which the limit stays: recovery is slow
-	missObjectiveShare       = .65 // of the latency objective; a likely miss beyond it counts against the origin
-	missRatioWindow          = 64  // likely misses over which the share of true ones fades
+	toleratedOriginLateShare = .15 // of overdue likely misses, at which the limit stays constant; recovery is slow
+	missObjectiveShare       = .65 // of the latency objective, after which a likely miss counts against the origin
+	missRatioWindow          = 64  // likely misses that the moving average of the share of actual misses spans
 )
 
 // likelyMissAt reports whether the origin likely has to serve a read that is sent to the cache.
 func (r *request) likelyMissAt(c *cache) bool { return !r.Write && !c.likelyCached(r.Key) }
 
-// originHasCapacity reports whether the origin can take misses that could be avoided.
+// originHasCapacity reports whether the origin has capacity for misses that could be avoided.
 func (e *Engine) originHasCapacity() bool { return float64(e.missesInFlight) < e.originLimit/2 }
 
-// originFull reports whether likely misses must wait. Of those in flight only the share of true ones counts.
+// originFull reports whether further likely misses must wait. Those in flight are multiplied by the share of
+// actual misses.
 func (e *Engine) originFull() bool { return float64(e.missesInFlight)*e.missRatio >= e.originLimit }
 
+// adjustOriginLimit raises or lowers the origin's limit after one attempt.
 func (e *Engine) adjustOriginLimit(good bool) {
 	e.adjustLimit(&e.originLimit, good, toleratedOriginLateShare)
 	e.originLimit = max(minOriginLimit, e.originLimit)
 }
 
-// missLatencyLimit is how long a likely miss may take before it counts against the origin. Where few are in
-// flight, it is the whole objective: misses that are slow by nature do not become faster.
+// missLatencyLimit returns how long a likely miss may take before it counts against the origin. With a low
+// limit it is the whole latency objective, because a lower limit does not make inherently slow misses faster.
 func (e *Engine) missLatencyLimit(req *request, c *cache) Time {
 	objective := req.class.LatencyObjective
 	if e.originLimit <= float64(len(e.inService))*e.routerShare() {
@@ -34,12 +36,12 @@
 	return min(objective, Time(missObjectiveShare*float64(objective))+slowness)
 }
 
-// attemptOverdue blames a late attempt on the origin if it is a likely miss and the cache served the last
-// likely hit in time, else on the cache.
+// attemptOverdue handles an attempt that exceeds the latency threshold. It counts against the origin if it is a
+// likely miss and the cache served its last likely hit in time, otherwise against the cache.
 func (e *Engine) attemptOverdue(req *request, n int) {
 	a := &req.attempts[n]
 	c := a.cache
-	if a.likelyMiss && c.lastHitOnTime && e.now >= c.warmAt { // a warming one is slow itself and has few hits
+	if a.likelyMiss && c.lastHitOnTime && e.now >= c.warmAt { // a warming cache is itself slow and has few hits
 		e.schedule(a.sentAt+e.missLatencyLimit(req, c), func() { e.missOverdue(&req.attempts[n]) })
 		return
 	}
@@ -49,7 +51,7 @@
 		e.adjustCacheLimit(c, false)
 		return
 	}
-	// Caches that are slow by nature do not become faster: a sole attempt may take its whole objective.
+	// A lower limit does not make an inherently slow cache faster: a sole attempt may take its whole objective.
 	e.schedule(a.sentAt+req.class.LatencyObjective, func() {
 		if req.attempts[n].pending {
 			e.adjustCacheLimit(c, false)
@@ -57,8 +59,9 @@
 	})
 }
 
-// missOverdue blames an overdue likely miss on the origin, or on a cache that is silent while the origin
-// serves others: to one of many routers, most of what a hung cache holds is a likely miss.
+// missOverdue handles a likely miss that exceeds missLatencyLimit. It ejects a cache that is silent while the
+// origin serves others, and otherwise counts the miss against the origin. A hung cache shows mostly as likely
+// misses, because one of many routers knows of few of the keys that the cache holds.
 func (e *Engine) missOverdue(a *attempt) {
 	if !a.pending {
 		return
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -1,30 +1,28 @@
-// Overload of the router itself: how many requests it takes where it has less processor time than they need.
+// Overload of the router itself: the limit on requests while it has less processor time than they need.
 
 package policy
 
 const (
-	// minOwnDelay is the least delay of the requests of a report from which on the router may be behind.
+	// minOwnDelay is the lower bound of the delay above which the router counts as overloaded.
 	minOwnDelay Time = 20_000
-	// ownDelayDivisor is the part of the shortest latency objective that requests may be delayed by.
+	// ownDelayDivisor divides the shortest latency objective to give that delay.
 	ownDelayDivisor = 8
-	// minBehindReports is how many reports in a row show that a router is behind: after a stall of the process
-	// one does, as all requests are late for a moment.
+	// minBehindReports is the number of consecutive reports above that delay that count as an overload. A
+	// single one can follow a stall of the process, after which all requests are late for a moment.
 	minBehindReports = 2
-	// delayReportSpans is for how many spans of a report its delay is taken to last.
+	// delayReportSpans is the number of report intervals for which a reported delay is assumed to last.
 	delayReportSpans = 2
 
-	// Factors of the limit: for a report of a router that is just behind, at least for one that is far
-	// behind, and for one that is not behind, though it rejects requests.
-	leastCut          = .9
-	deepestCut        = .7
-	requestRateGrowth = 1.1
+	leastCut          = .9  // factor of the limit for a delay that just counts as overload
+	deepestCut        = .7  // least factor of the limit for any longer delay
+	requestRateGrowth = 1.1 // factor of the limit for a shorter delay while the limit still rejects requests
 
 	minRequestRate  = 10 // least limit, in requests a second
 	microsPerSecond = 1e6
 )
 
-// delayReported adjusts the limit on requests to the delay with which they are handled. Work that comes late
-// is of no use to anyone: a router that takes what it can't do in time serves a small part of what it could.
+// delayReported adjusts the limit on requests to the delay with which they are handled. Late replies are of no
+// use: a router that accepts more than it can handle in time serves only a small part of what it could.
 func (e *Engine) delayReported(ev *DelayReport) {
 	e.routerDelay, e.routerDelayUntil = ev.LeastDelay, e.now+delayReportSpans*ev.Span
 	if ev.LeastDelay > e.maxOwnDelay() {
@@ -36,14 +34,15 @@
 	case e.behindReports >= minBehindReports:
 		e.cutRequestLimit(ev)
 	case e.behindReports > 0 || e.requestLimit == 0:
-	case ev.Rejected == 0: // the limit binds no more
+	case ev.Rejected == 0: // the limit is no longer reached
 		e.limitRequests(0)
 	default:
 		e.limitRequests(e.requestLimit * requestRateGrowth)
 	}
 }
 
-// cutRequestLimit lowers the limit to a part of what the router takes, the less the further it is behind.
+// cutRequestLimit lowers the limit to a part of the rate that the router handles. The part is smaller for a
+// longer delay.
 func (e *Engine) cutRequestLimit(ev *DelayReport) {
 	rate := float64(ev.Taken) / float64(max(ev.Span, 1)) * microsPerSecond
 	if e.requestLimit > 0 {
@@ -53,10 +52,10 @@
 	e.limitRequests(max(minRequestRate, rate*cut))
 }
 
-// maxOwnDelay is the least delay of requests up to which the router is not behind.
+// maxOwnDelay returns the delay of requests above which the router counts as overloaded.
 func (e *Engine) maxOwnDelay() Time { return max(minOwnDelay, e.shortestObjective/ownDelayDivisor) }
 
-// limitRequests limits the requests that the router takes in a second; 0 is no limit.
+// limitRequests sets the limit on requests per second; 0 means no limit.
 func (e *Engine) limitRequests(perSecond float64) {
 	if (perSecond > 0) != (e.requestLimit > 0) {
 		e.logf("router overloaded active=%t delay_us=%d limit_per_second=%.0f",
@@ -66,8 +65,8 @@
 	e.emit(LimitRequests{PerSecond: perSecond, RetryAfter: min(e.settings.MaxRetryAfter, e.shortestObjective)})
 }
 
-// canAnswerInTime reports whether the reply to a request that is sent now would be handled before its
-// deadline, as late as this router is.
+// canAnswerInTime reports whether this router, with its reported delay, would handle the reply to a request
+// that is sent now before the request's deadline.
 func (e *Engine) canAnswerInTime(req *request) bool {
 	return e.now >= e.routerDelayUntil || e.now+e.routerDelay < req.Deadline
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -1,32 +1,33 @@
-// Placement: which cache of a key's ranking gets an attempt, and the replicas of a hot key.
+// Placement: the choice of a cache for an attempt from the ranking for its key, and the replicas of hot keys.
 
 package policy
 
 import "math"
 
 const (
-	maxCandidates    = 4  // caches considered before one that is unhealthy is used after all
-	hotKeyShare      = .5 // of a cache's fair share of the requests that one key may take
+	maxCandidates    = 4  // caches considered before an unhealthy one is used
+	hotKeyShare      = .5 // of a cache's fair share of requests, above which a key is hot
 	minHotKeyCount   = 2  // requests for a key before it can be hot
-	hotKeyDeviations = 2  // standard deviations by which chance may have raised a key's count
+	hotKeyDeviations = 2  // standard deviations that are deducted from a key's count in sparse traffic
 )
 
-// replicaCount is over how many caches a key's requests are spread: one, unless it is hot.
+// replicaCount returns the number of caches that a key's requests are spread over: one, unless the key is hot.
 func (e *Engine) replicaCount(key uint64) int {
 	total := e.keyCounts.Total(key)
 	if total < minHotKeyCount {
 		return 1
 	}
 	count := float64(total)
-	if e.sparseTraffic() { // two of few requests may be chance, and a key that all routers spread misses
+	if e.sparseTraffic() {
+		// Two out of few requests may be for one key by chance, and a key that all routers spread would miss.
 		count = max(0, count-hotKeyDeviations*math.Sqrt(count))
 	}
 	share := count / float64(e.requestCounts.Total())
 	return 1 + int(share*float64(len(e.inService))/hotKeyShare)
 }
 
-// drawReplica returns the rank of the cache that a request goes to first: the first rank, unless the key is
-// hot. It would overload its primary, and the primary's other keys would miss elsewhere.
+// drawReplica returns the rank of the cache that a request is sent to first. It is the first rank, the primary,
+// unless the key is hot: a hot key would overload its primary, whose other keys would then miss elsewhere.
 func (e *Engine) drawReplica(key uint64) int {
 	if replicas := min(e.replicaCount(key), len(e.inService)); replicas > 1 {
 		return int(e.rng.Float64() * float64(replicas))
@@ -34,16 +35,17 @@
 	return 0
 }
 
-// pick is the search for the cache of one attempt, which is offered caches in the order of the ranking.
+// pick selects the cache for one attempt. It is offered caches in the order of the ranking.
 type pick struct {
 	engine     *Engine
 	request    *request
 	considered int
-	overloaded bool   // only a lack of capacity is in the way
-	fallback   *cache // the first unusable one with capacity
+	overloaded bool   // a cache was passed over only for lack of capacity
+	fallback   *cache // the first unusable cache that has capacity
 }
 
-// pickCache returns the cache for the next attempt or nil, and whether only a lack of capacity is in the way.
+// pickCache returns the cache for the next attempt. If there is none it returns nil, and whether the reason is
+// only a lack of capacity.
 func (e *Engine) pickCache(req *request) (picked *cache, overloaded bool) {
 	req.spilledOver = false
 	replica := e.drawReplica(req.Key)
@@ -68,7 +70,7 @@
 	return p.fallback, false
 }
 
-// offerRanked offers the caches of the first ranks, with that of the replica's rank and the first exchanged.
+// offerRanked offers the caches of the first ranks, after swapping the first one with the replica.
 func (p *pick) offerRanked(ranked []*cache, replica int) *cache {
 	for i := range ranked {
 		switch i {
@@ -87,13 +89,13 @@
 	return nil
 }
 
-// offer reports whether the attempt goes to the cache.
+// offer considers a cache and reports whether the attempt goes to it.
 func (p *pick) offer(c *cache) bool {
 	e, req := p.engine, p.request
 	if !e.mayTake(req, c) {
 		return false
 	}
-	if e.circuitOpen(c) { // not counted: an unreachable zone may hold most of the fleet
+	if e.circuitOpen(c) { // not counted, as most of the fleet may be in an unreachable zone
 		p.fallBack(c)
 		return false
 	}
@@ -113,19 +115,20 @@
 	return false
 }
 
+// fallBack keeps the cache as the fallback if it is the first one with capacity.
 func (p *pick) fallBack(c *cache) {
 	if p.fallback == nil && p.engine.hasCapacity(c) {
 		p.fallback = c
 	}
 }
 
-// mayTake reports whether a cache may get the next attempt of a request, whatever its own state.
+// mayTake reports whether a cache may get the next attempt of a request, regardless of its health and load.
 func (e *Engine) mayTake(req *request, c *cache) bool {
 	return e.canSend(req, c) && !req.alreadyTried(c) && e.slowStartAllows(req, c)
 }
 
-// alreadyTried reports whether the next attempt should go to another cache. One reset connection says little
-// about the cache, and at any other the key would miss.
+// alreadyTried reports whether the next attempt should go to another cache. After a single reset connection the
+// same cache is tried again: the reset says little about the cache, and the key would miss at any other.
 func (r *request) alreadyTried(c *cache) bool {
 	attempts := 0
 	for _, a := range r.attempts {
@@ -139,8 +142,8 @@
 	return false
 }
 
-// canSpillOver reports whether a request whose primary lacks capacity may go to another cache, though it
-// likely misses there. In overload none goes to a warming cache.
+// canSpillOver reports whether a request may go to the cache because caches of higher ranks lack capacity,
+// although it will likely miss there. In overload no request spills over to a warming cache.
 func (e *Engine) canSpillOver(req *request, c *cache) bool {
 	return (e.now >= c.warmAt || e.goodputRatio >= 1-toleratedLateShare) &&
 		(c.likelyCached(req.Key) || e.originHasCapacity() || e.retryBudget >= 1)
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -1,4 +1,4 @@
-// The ranking of the caches for a key, by rendezvous hashing, as far as a pick needs it.
+// The ranking of the caches for a key by rendezvous hashing. Only the ranks that are needed are computed.
 
 package policy
 
@@ -12,21 +12,23 @@
 )
 
 const (
-	rankedPrefix = 16    // caches that are ranked for a request at once
+	rankedPrefix = 16    // least number of caches that are ranked for a request
 	minUnit      = 1e-18 // keeps the logarithm of a hash finite
 
-	unitRounding = 1e-12 // more than what rounding can change about a cutoff
+	unitRounding = 1e-12 // upper bound of the relative rounding error of a cutoff
 )
 
-// score is what a cache ranks by for a key; the lowest ranks first. unit is the hash of both, from 0 to 1.
+// score returns the score of a cache for a key. The lowest score ranks first. unit is the hash of the cache and
+// the key, in [0, 1).
 func (c *cache) score(unit float64) float64 { return -math.Log(unit+minUnit) / c.Weight }
 
-// cutoff returns a hash, from 0 to 1, below which no cache of the weight scores less than the limit.
+// cutoff returns a hash in [0, 1) below which no cache scores less than the limit, if its weight is not larger
+// than the given one.
 func cutoff(limit, weight float64) float64 {
 	return math.Exp(-limit*weight)*(1-unitRounding) - minUnit
 }
 
-// rankCaches returns the caches of the first ranks for a key. All routers agree on the order.
+// rankCaches returns the caches of the first ranks for a key. The order is the same on all routers.
 func (e *Engine) rankCaches(key uint64, count int) []*cache {
 	first := &e.ranking
 	first.Reset(count)
@@ -46,8 +48,8 @@
 	return slices.Clone(first.Elements())
 }
 
-// rankedFor returns the caches of the first ranks for a request, as many as asked for or more. They are kept
-// until the caches in service or their weights change.
+// rankedFor returns the caches of the first ranks for a request, at least as many as asked for if there are as
+// many. The result is cached in the request until the caches in service or their weights change.
 func (e *Engine) rankedFor(req *request, count int) []*cache {
 	count = min(count, len(e.inService))
 	if req.rankedVersion != e.rankingVersion || len(req.ranked) < count {
@@ -56,18 +58,18 @@
 	return req.ranked
 }
 
-// search looks for the next caches in the ranking for a request that a pick would consider, among those
-// behind the first ranks.
+// search looks through the ranking for a request, behind its first ranks, for the next caches that a pick would
+// consider.
 type search struct {
 	engine     *Engine
 	request    *request
-	ranked     []*cache                    // the first ranks
-	considered *partialsort.Lowest[*cache] // the first caches that would be considered
+	ranked     []*cache                    // the caches of the first ranks, which the search leaves out
+	considered *partialsort.Lowest[*cache] // the next caches that a pick would consider
 	unreached  *partialsort.Lowest[*cache] // the first cache with an open circuit that has capacity
 }
 
-// searchRanking returns the next caches in the ranking that a pick could use, in order: as many as it would
-// consider, and the first one with an open circuit that has capacity.
+// searchRanking returns the next caches in the ranking that a pick can use, in order: up to count caches to
+// consider, and the first one that has capacity but an open circuit, unless it ranks behind all of the count.
 func (e *Engine) searchRanking(req *request, ranked []*cache, count int) []*cache {
 	s := &search{engine: e, request: req, ranked: ranked, considered: &e.ranking, unreached: &e.unreached}
 	s.considered.Reset(count)
@@ -83,7 +85,7 @@
 	return slices.Insert(found, rank, s.unreached.Elements()[0])
 }
 
-// searchable returns how many caches of a group, from its first, the slow start may allow for a request.
+// searchable returns how many caches, from the start of a group, the slow start may allow for a request.
 func (e *Engine) searchable(req *request, group *cacheGroup) int {
 	if !group.warmingUp {
 		return len(group.caches)
@@ -99,6 +101,7 @@
 	return sort.Search(len(group.caches), func(i int) bool { return unit >= e.slowStartShare(group.caches[i]) })
 }
 
+// scan offers the search the first count caches of a group whose hash can rank high enough.
 func (s *search) scan(group *cacheGroup, count int) {
 	lowest := s.cutoff(group)
 	for i, hash := range group.hashes[:count] {
@@ -112,6 +115,7 @@
 	}
 }
 
+// cutoff returns a hash below which the search needs no cache of the group.
 func (s *search) cutoff(group *cacheGroup) float64 {
 	limit := s.unreachedLimit()
 	if !s.engine.breakerOpen(group.zone, zoneFailureThreshold) {
@@ -120,10 +124,11 @@
 	return cutoff(limit, group.maxWeight)
 }
 
-// unreachedLimit is the score from which on a cache with an open circuit is of no use.
+// unreachedLimit returns the score from which on the search needs no cache with an open circuit.
 func (s *search) unreachedLimit() float64 { return min(s.unreached.Limit(), s.considered.Limit()) }
 
-// offer takes a cache whose hash with the key may rank it high enough, and reports whether it was kept.
+// offer adds a cache to the results if its score is low enough, and reports whether it did. unit is the hash of
+// the cache and the key.
 func (s *search) offer(c *cache, unit float64) bool {
 	e := s.engine
 	score := c.score(unit)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -1,44 +1,46 @@
-// Requests, from their arrival over the queue to the final answer.
+// Requests, from their arrival to the final answer, and the queue of those that wait for capacity.
 
 package policy
 
 import "slices"
 
 const (
-	maxQueueShare    = .4 // of the latency objective that a request may wait for capacity
-	maxDispatchTries = 32 // queued requests without capacity that are looked at for one reply
+	maxQueueShare    = .4 // share of the latency objective that a request may wait for capacity
+	maxDispatchTries = 32 // queued requests that may find no capacity before a dispatch of the queue ends
 )
 
-var unknownClass = Class{Effect: NonIdempotent} // of requests whose class is not in the settings
+// unknownClass is the class of requests whose class is not in the settings.
+var unknownClass = Class{Effect: NonIdempotent}
 
-// request is a request that lacks its final answer, or has attempts in flight.
+// request is the state of a request that has no final answer yet, or still has attempts in flight.
 type request struct {
 	*Request
 	class         *Class
 	arrivedAt     Time
 	attempts      []attempt
-	done          bool // the final answer is given, or nobody waits for it
+	done          bool // it has a final answer, or its client has gone
 	queued        bool // it waits for capacity
-	originLimited bool // ... of the origin
+	originLimited bool // the capacity that it lacked was that of the origin
 	streaming     bool // the answer has started
-	spilledOver   bool // its primary lacked capacity when a cache was picked
+	spilledOver   bool // a cache of a higher rank lacked capacity when the last one was picked
 
-	ranked        []*cache // of the first ranks for its key, as of rankedVersion
+	ranked        []*cache // the caches of the first ranks for its key, as of rankedVersion
 	rankedVersion int
 }
 
+// handleRequest handles the arrival of a request.
 func (e *Engine) handleRequest(ev *Request) {
 	req := &request{Request: ev, class: e.classes[ev.Class], arrivedAt: e.now}
 	if req.class == nil {
 		req.class = &unknownClass
 	}
 	if !ev.HasKey {
-		keyed := *ev // the event is the caller's
+		keyed := *ev // a copy, as the event belongs to the caller
 		keyed.Key = mix(uint64(ev.ID) ^ uint64(e.rng))
 		req.Request = &keyed
 	}
 	e.requests[req.ID] = req
-	if e.now < req.Deadline { // whatever else happens, this timer gives the final answer
+	if e.now < req.Deadline { // ensures a final answer in any case
 		e.schedule(req.Deadline, func() { e.rejectOrFail(req) })
 	}
 	e.retryBudget = min(e.retryBudget+retryRatio, max(1, e.retryBurstLimit()))
@@ -58,10 +60,11 @@
 	e.dispatch(req)
 }
 
-// dispatch sends a request to a cache, queues it for capacity, or answers it where neither is possible.
+// dispatch sends a request to a cache, or queues it if only capacity is lacking. If neither is possible and no
+// attempt is pending, it gives the final answer.
 func (e *Engine) dispatch(req *request) {
 	if e.countsAsRetry(req) && e.retryBudget < 1 {
-		e.answerUnlessPending(req) // retries would feed the overload that caused them
+		e.answerUnlessPending(req) // retries would add to the overload that caused them
 		return
 	}
 	c, overloaded := e.pickCache(req)
@@ -75,19 +78,22 @@
 	}
 }
 
+// answerUnlessPending gives the final answer unless an attempt is still pending.
 func (e *Engine) answerUnlessPending(req *request) {
 	if !slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.pending }) {
 		e.rejectOrFail(req)
 	}
 }
 
-// queueDeadline is when a queued request can no longer be served within its latency objective.
+// queueDeadline returns the time after which a request no longer waits for capacity, as it would be served
+// late.
 func (r *request) queueDeadline() Time {
 	span := min(r.class.LatencyObjective, r.Deadline-r.arrivedAt)
 	return r.arrivedAt + Time(maxQueueShare*float64(span))
 }
 
-// enqueue keeps a request until there is capacity, as an overloaded cache serves everything late.
+// enqueue queues a request until there is capacity. It is not sent at once because an overloaded cache serves
+// everything late.
 func (e *Engine) enqueue(req *request) {
 	if !req.queued {
 		req.queued = true
@@ -96,7 +102,7 @@
 	}
 }
 
-// shedQueued gives up on a request that is still queued.
+// shedQueued removes a request that is still queued from the queue, and gives its final answer.
 func (e *Engine) shedQueued(req *request) {
 	if !req.queued || req.done {
 		return
@@ -117,8 +123,9 @@
 	}
 }
 
-// dispatchQueued sends queued requests when there may be capacity again: the latest first, as in the order of
-// arrival all would be late, and until a few find no capacity, as the queue may hold thousands.
+// dispatchQueued sends queued requests when there may be capacity again. It starts with the latest, because in
+// the order of arrival all would be late. It stops after maxDispatchTries requests found no capacity, because
+// the queue may hold thousands.
 func (e *Engine) dispatchQueued() {
 	failed := 0
 	for i := len(e.queue) - 1; i >= 0 && failed < maxDispatchTries; i-- {
@@ -132,6 +139,7 @@
 	}
 }
 
+// rejectOrFail gives a request its final answer: a rejection where that is allowed, or a failure.
 func (e *Engine) rejectOrFail(req *request) {
 	if req.done || req.streaming {
 		return
@@ -144,7 +152,8 @@
 	e.finish(req)
 }
 
-// finish ends a request: it cancels its attempts in flight, and forgets it once there are none.
+// finish marks a request as done and cancels its attempts in flight. Without such attempts it drops the
+// request.
 func (e *Engine) finish(req *request) {
 	req.done = true
 	if req.queued {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,24 +6,24 @@
 	"math"
 )
 
-// Effect says what may happen when a request is carried out twice.
+// Effect says whether a request may be carried out more than once.
 type Effect uint8
 
 // The effects of a class.
 const (
-	NonIdempotent     Effect = iota // must never run twice; also any class that is not in the settings
+	NonIdempotent     Effect = iota // must not run twice; applies to classes that are not in the settings, too
 	Idempotent                      // may be repeated freely
-	IdempotentWithKey               // repeats are dropped inside DedupScope for KeyTTL
+	IdempotentWithKey               // caches in DedupScope drop repeats for KeyTTL
 )
 
-// DedupScope names the caches that drop repeats of a request with an idempotency key.
+// DedupScope says which caches drop repeats of a request with an idempotency key.
 type DedupScope uint8
 
 // The scopes, from the smallest.
 const (
-	ScopeGroup DedupScope = iota // the caches of the first cache's group
-	ScopeZone                    // the caches of its zone
-	ScopeAll                     // every cache
+	ScopeGroup DedupScope = iota // caches in the group of the first attempt's cache
+	ScopeZone                    // caches in the zone of the first attempt's cache
+	ScopeAll                     // all caches
 )
 
 // Class describes one kind of request.
@@ -32,39 +32,39 @@
 	Effect           Effect
 	DedupScope       DedupScope // for IdempotentWithKey
 	KeyTTL           Time       // for IdempotentWithKey, from the first attempt that may have run
-	LatencyObjective Time       // the full priority weight is earned up to here
-	Timeout          Time       // of the client, over all attempts
-	PriorityWeight   float64    // of an answer within the latency objective
+	LatencyObjective Time       // latency up to which an answer earns the full PriorityWeight
+	Timeout          Time       // timeout of the client, over all attempts
+	PriorityWeight   float64    // priority weight of an answer within the latency objective
 	LateWeight       float64    // share of PriorityWeight that a later answer earns
 }
 
-// Settings is what an engine is given once, at its start.
+// Settings are the settings of an engine. They do not change after its start.
 type Settings struct {
-	Routers       int // how many routers share the load
+	Routers       int // number of routers that share the load
 	Classes       []Class
-	WatchRequired bool // the endpoint list is sent only to those that watch it
+	WatchRequired bool // the endpoint list is sent only to routers that watch it
 	LiveWeights   bool // Endpoint.Weight is lowered by the current load
 
 	MaxAttempts         int
-	HedgingAllowed      bool    // two attempts of a request may be pending at once
+	HedgingAllowed      bool    // a request may have several pending attempts
 	CancelAllowed       bool    // Cancel may be used
 	HealthChecksAllowed bool    // HealthCheck may be used
-	MaxRetryAfter       Time    // longest RetryAfter that clients honour; 0 where it is not passed on
-	DrainGrace          Time    // a draining or removed cache must get no request after this; 0 is a default
-	WarmupTime          Time    // a started cache is warm after this at the latest
-	WarmupStartShare    float64 // least share of its capacity that a started cache has
-	OverloadMultiple    float64 // sent this multiple of its capacity ...
-	OverloadTime        Time    // ... for this long, a cache collapses
-	PollInterval        Time    // without a watch, a router counts as notified after this
-	HealthCheckCost     float64 // points lost at one health check per request
-	ConnectionCost      float64 // points lost at 100 open connections per cache
-	HandshakeCost       float64 // points lost at one new connection per request
+	MaxRetryAfter       Time    // longest RetryAfter that clients honour; 0 if it is not passed on to them
+	DrainGrace          Time    // time after which a draining or removed cache must get no request; 0 is the default
+	WarmupTime          Time    // time after its start when a cache is warm at the latest
+	WarmupStartShare    float64 // least share of its capacity that a cache has at its start
+	OverloadMultiple    float64 // multiple of its capacity under which a cache collapses after OverloadTime
+	OverloadTime        Time    // duration of that load after which a cache collapses
+	PollInterval        Time    // time after which a router without a watch counts as notified
+	HealthCheckCost     float64 // cost, in points, of one health check per request
+	ConnectionCost      float64 // cost, in points, of 100 open connections per cache
+	HandshakeCost       float64 // cost, in points, of one new connection per request
 }
 
-// ErrNoClasses is the error for settings without classes.
+// ErrNoClasses is returned for settings without classes.
 var ErrNoClasses = errors.New("policy: Classes is empty")
 
-// SettingsError is the error for settings with a field that is out of range.
+// SettingsError is returned for settings with a field that is out of range.
 type SettingsError struct {
 	Field string // for example Routers, or Classes[1].KeyTTL
 	Value float64
@@ -74,14 +74,14 @@
 	return fmt.Sprintf("policy: %s is %v, out of range", e.Field, e.Value)
 }
 
-// settingsField is one number in the settings, and its range.
+// settingsField is a numeric field of the settings with its valid range.
 type settingsField struct {
 	name             string
 	value            float64
 	minimum, maximum float64
 }
 
-func (f settingsField) valid() bool { return f.value >= f.minimum && f.value <= f.maximum } // not so for NaN
+func (f settingsField) valid() bool { return f.value >= f.minimum && f.value <= f.maximum } // false for NaN
 
 // validate returns ErrNoClasses, or a SettingsError for the first field that is out of range.
 func (s *Settings) validate() error {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,10 +4,11 @@
 
 import "math"
 
-const goodputWindow = 16 // attempts at warm caches over which the share of those served in time fades
+const goodputWindow = 16 // attempts at warm caches that the moving average of the goodput ratio spans
 
-// slowStartAllows keeps a warming cache to its share of the traffic, as one pushed into overload stays there.
-// A second hash of the key decides, so that all routers send it the same keys.
+// slowStartAllows reports whether the slow start lets the cache get the request. A warming cache gets only a
+// share of its keys, because a cache that is pushed into overload stays overloaded. A second hash of the key
+// selects that share, so that all routers send the cache the same keys.
 func (e *Engine) slowStartAllows(req *request, c *cache) bool {
 	if e.now >= c.warmAt {
 		return true
@@ -20,23 +21,24 @@
 	if e.sparseTraffic() && weight > 0 && e.mayBeHotKey(req.Key, c.Weight, share) {
 		return false
 	}
-	// The keys of its share can still add up to more than its part of what warm caches get.
+	// The selected keys can still carry more traffic than the cache's weighted part of what warm caches accept.
 	sent := e.warmLoad.At(e.now, e.settings.OverloadTime)
 	fairPart := e.warmupFraction(c) * c.Weight * sent / max(weight, c.Weight)
 	return c.recentAttempts.At(e.now, e.settings.OverloadTime) < 1+fairPart
 }
 
-// slowStartUnit is the hash of a key, from 0 to 1, by which it is in the share of a warming cache or not.
+// slowStartUnit maps a key to [0, 1). A warming cache gets the key if the result is below its share.
 func slowStartUnit(key uint64) float64 { return hashToUnit(mix(key) + 1) }
 
-// keptOffWarming reports whether a request may go to no warming cache: in a fault retries are most of the
-// traffic, and they all look for capacity.
+// keptOffWarming reports whether a request must not go to a warming cache, as with retries and hot keys.
+// During a fault, retries are most of the traffic, and all of them look for spare capacity.
 func (e *Engine) keptOffWarming(req *request) bool {
 	return len(req.attempts) > 0 || e.replicaCount(req.Key) > 1
 }
 
-// recentlyAccepted counts the attempts of late that a cache has not rejected: in overload, what it rejects
-// comes back many times and is no measure of what caches can do. Sparse traffic tells too little of that.
+// recentlyAccepted returns the fading count of attempts at a cache that it has not rejected. In overload,
+// rejected requests are retried many times, so they don't measure the capacity of the caches. In sparse
+// traffic, rejections are too few to be deducted.
 func (e *Engine) recentlyAccepted(c *cache) float64 {
 	attempts := c.recentAttempts.At(e.now, e.settings.OverloadTime)
 	if e.sparseTraffic() {
@@ -45,11 +47,13 @@
 	return max(0, attempts-c.recentRejections.At(e.now, e.settings.OverloadTime))
 }
 
-// mayBeHotKey reports whether a key may be more than a warming cache of that weight and share of its keys
-// can serve, as all of many routers send it there. Together they send, for any share s of the key, at most
-// half of what OverloadMultiple leaves beside the cache's other keys, as it may have two such keys. The first
-// request that a router sees after n others makes up s*exp(-s*n) of all, at most 1/(e*n); later ones tell
-// the share.
+// mayBeHotKey reports whether a key may carry more traffic than a warming cache of the given weight and share
+// of its keys can serve, as all of many routers may send the key there. Each router therefore sends it only
+// with a probability that falls with the key's count. Whatever share s of all requests is for the key, the
+// routers together then send at most half of the headroom that OverloadMultiple leaves beside the cache's
+// other keys: half, because the cache may have two such keys. If n other requests precede the first one that
+// a router sees for the key, it accounts for s*exp(-s*n) of all requests, at most 1/(e*n); later requests
+// show the share.
 func (e *Engine) mayBeHotKey(key uint64, weight, share float64) bool {
 	fleetWeight := e.meanWeight * float64(len(e.inService))
 	fairPart := float64(e.requestCounts.Total()) * weight / fleetWeight
@@ -61,6 +65,8 @@
 	return hashToUnit(key+e.salt)*float64(count) >= limit
 }
 
+// updateGoodput updates the share of attempts at warm caches that are served within the latency objective.
+// Failures within the objective do not count, except for rejections.
 func (e *Engine) updateGoodput(a *attempt, req *request, result Result) {
 	late := e.now >= a.sentAt+req.class.LatencyObjective
 	if e.now >= a.cache.warmAt && (late || result == Served || result == Rejected) {
@@ -72,14 +78,18 @@
 	}
 }
 
-// slowStartShare is the share of its keys that a warming cache gets: as much as it can serve by now.
+// slowStartShare returns the share of its keys that a warming cache gets: what it can serve by now, and less
+// in overload.
 func (e *Engine) slowStartShare(c *cache) float64 { return e.warmupFraction(c) * e.overloadFactor() }
 
-// overloadFactor lowers the share in overload to what warm caches serve in time, or to a multiple of that.
+// overloadFactor returns the factor by which overload lowers the slow start's share: the share of attempts
+// that warm caches serve in time, or half of OverloadMultiple times that if it is more.
 func (e *Engine) overloadFactor() float64 {
 	return min(1, e.goodputRatio*max(1, e.settings.OverloadMultiple/2))
 }
 
+// warmupFraction returns the assumed capacity of a cache as a share of its capacity when warm. It grows
+// linearly from WarmupStartShare to 1 over the warm-up time.
 func (e *Engine) warmupFraction(c *cache) float64 {
 	if e.now >= c.warmAt {
 		return 1
@@ -88,8 +98,8 @@
 	return e.settings.WarmupStartShare + (1-e.settings.WarmupStartShare)*max(0, age)
 }
 
-// fleetWarmingUp reports whether more of the fleet is warming up than is tolerated of late attempts. All
-// misses are then late for a while, which is no reason to reject hits.
+// fleetWarmingUp reports whether the share of the fleet that is warming up, by weight, exceeds the tolerated
+// share of late attempts. All misses are then late for a while, which is no reason to reject hits.
 func (e *Engine) fleetWarmingUp() bool {
 	weights := e.weightSums()
 	return weights.warmingUp > toleratedLateShare*weights.total
