--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -21,7 +21,7 @@
 	// Where each watch has a cost, the service may hold it open for longer.
 	requiredWatchWait = 3 * time.Second
 	// Elsewhere the wait is shorter: a change that a stalled watch misses must
-	// be received before policy.NotificationDeadline.
+	// be received before policy.NotificationTimeout.
 	optionalWatchWait = 2 * time.Second
 
 	// minCallInterval is the least time from one call that brings no news to the
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -94,9 +94,9 @@
 		return
 	}
 	l.pendingEvents = append(l.pendingEvents, &policy.DelayReport{
-		Span:       l.now - r.since,
-		LeastDelay: r.least,
-		Taken:      r.taken,
+		Interval:       l.now - r.since,
+		MinDelay: r.least,
+		Handled:      r.taken,
 		Rejected:   int(l.limiter.rejected.Swap(0)),
 	})
 	r.scheduled, r.least, r.taken = false, 0, 0
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -116,13 +116,13 @@
 		}
 	})
 	report := receive(t, recorder.reports, "report")
-	if report.LeastDelay != late || report.Taken != 3 || report.Span < delayReportInterval {
+	if report.MinDelay != late || report.Handled != 3 || report.Interval < delayReportInterval {
 		t.Errorf("report %+v, want 3 requests, one of them handled %d late", report, late)
 	}
 	harness.do(func() { harness.loop.perform(policy.LimitRequests{PerSecond: 1000}) })
 	harness.do(func() { harness.loop.delayReports.noteRequest(harness.loop.now) })
 	receive(t, recorder.reports, "report")
-	if report = receive(t, recorder.reports, "report while there is a limit"); report.Taken != 0 || report.LeastDelay != 0 {
+	if report = receive(t, recorder.reports, "report while there is a limit"); report.Handled != 0 || report.MinDelay != 0 {
 		t.Errorf("report %+v, want none taken", report)
 	}
 }
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -239,7 +239,7 @@
 	for _, mode := range []string{"automatic", "subscribe"} {
 		cfg := testConfig(t, "127.0.0.1:1", func(in map[string]any) { in["settings"].(map[string]any)["discovery"] = mode })
 		backoff := time.Duration(discovery.BackoffBase) * time.Microsecond
-		deadline := time.Duration(policy.NotificationDeadline) * time.Microsecond
+		deadline := time.Duration(policy.NotificationTimeout) * time.Microsecond
 		if mode == "subscribe" {
 			backoff = time.Duration(cfg.Settings.DrainGrace) * time.Microsecond // the policy's longest
 		}
@@ -278,7 +278,7 @@
 		set := testConfig(t, "127.0.0.1:1", nil).Settings
 		set.PollInterval, set.DrainGrace = 10_000_000, 1_500_000
 		at := firstCall(t, set, seed, down.failsAfter, back+policy.Time(seed)*7919%5_000_000)
-		if at > policy.NotificationDeadline-callAllowance {
+		if at > policy.NotificationTimeout-callAllowance {
 			t.Errorf("%s until %d us: seed %d called %d us after the end of the outage", down.name, back, seed, at)
 		}
 		callsByTenth[at/100_000]++
--- a/policy/api.go
+++ b/policy/api.go
@@ -10,6 +10,6 @@
 // Time is a point in time or a duration, in microseconds. The zero point of the clock is arbitrary.
 type Time = int64
 
-// NotificationDeadline is the time after which, by the protocol, a router counts as notified of a change of
+// NotificationTimeout is the time after which, by the protocol, a router counts as notified of a change of
 // the endpoint list. It starts when discovery has the change and is reachable, whether or not polls succeed.
-const NotificationDeadline Time = 6_000_000
+const NotificationTimeout Time = 6_000_000
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -92,7 +92,7 @@
 	}
 	// Discovery may be reachable again. The next poll must end before the router counts as notified of a
 	// change.
-	untilDeadline := NotificationDeadline - pollAllowance - (e.now - e.polledAt)
+	untilDeadline := NotificationTimeout - pollAllowance - (e.now - e.polledAt)
 	wait = min(wait, float64(max(untilDeadline, pollAllowance/2)))
 	e.schedule(e.now+Time(e.rng.Jitter(wait)), e.pollEndpoints)
 	if e.failedPolls == 1 && e.now >= e.nextPollFailureLine {
--- a/policy/events.go
+++ b/policy/events.go
@@ -119,10 +119,10 @@
 
 // DelayReport reports the delay with which the router has handled requests since the last report.
 type DelayReport struct {
-	Span       Time // time since the last report
-	LeastDelay Time // least delay of a request from being read to being handled; 0 without requests
-	Taken      int  // requests that were handled
-	Rejected   int  // requests that were rejected because of LimitRequests
+	Interval Time // time since the last report
+	MinDelay Time // least delay of a request from being read to being handled; 0 without requests
+	Handled  int  // requests that were handled
+	Rejected int  // requests that were rejected because of LimitRequests
 }
 
 // PeerMessage is a message from another router. The policy sends none, and ignores them.
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -24,8 +24,8 @@
 // delayReported adjusts the limit on requests to the delay with which they are handled. Late replies are of no
 // use: a router that accepts more than it can handle in time serves only a small part of what it could.
 func (e *Engine) delayReported(ev *DelayReport) {
-	e.routerDelay, e.routerDelayUntil = ev.LeastDelay, e.now+delayReportSpans*ev.Span
-	if ev.LeastDelay > e.maxOwnDelay() {
+	e.routerDelay, e.routerDelayUntil = ev.MinDelay, e.now+delayReportSpans*ev.Interval
+	if ev.MinDelay > e.maxOwnDelay() {
 		e.behindReports++
 	} else {
 		e.behindReports = 0
@@ -44,11 +44,11 @@
 // cutRequestLimit lowers the limit to a part of the rate that the router handles. The part is smaller for a
 // longer delay.
 func (e *Engine) cutRequestLimit(ev *DelayReport) {
-	rate := float64(ev.Taken) / float64(max(ev.Span, 1)) * microsPerSecond
+	rate := float64(ev.Handled) / float64(max(ev.Interval, 1)) * microsPerSecond
 	if e.requestLimit > 0 {
 		rate = min(rate, e.requestLimit)
 	}
-	cut := max(deepestCut, leastCut*float64(e.maxOwnDelay())/float64(ev.LeastDelay))
+	cut := max(deepestCut, leastCut*float64(e.maxOwnDelay())/float64(ev.MinDelay))
 	e.limitRequests(max(minRequestRate, rate*cut))
 }
 
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -13,7 +13,7 @@
 // report gives the engine a report and returns the limit that it sets; ok is false if it sets none.
 func (h *engineHarness) report(delay Time, taken, rejected int) (limit LimitRequests, ok bool) {
 	h.now += testReportSpan
-	for _, action := range h.handle(&DelayReport{Span: testReportSpan, LeastDelay: delay, Taken: taken, Rejected: rejected}) {
+	for _, action := range h.handle(&DelayReport{Interval: testReportSpan, MinDelay: delay, Handled: taken, Rejected: rejected}) {
 		if set, isLimit := action.(LimitRequests); isLimit {
 			limit, ok = set, true
 		}
