--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -94,10 +94,10 @@
 		return
 	}
 	l.pendingEvents = append(l.pendingEvents, &policy.DelayReport{
-		Interval:       l.now - r.since,
+		Interval: l.now - r.since,
 		MinDelay: r.least,
-		Handled:      r.taken,
-		Rejected:   int(l.limiter.rejected.Swap(0)),
+		Handled:  r.taken,
+		Rejected: int(l.limiter.rejected.Swap(0)),
 	})
 	r.scheduled, r.least, r.taken = false, 0, 0
 	if l.limiter.limited.Load() {
