--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -22,7 +22,7 @@
 	// routers that watch. It is the longer one because each watch has a cost.
 	requiredWatchWait = 3 * time.Second
 	// optionalWatchWait is the wait elsewhere. It is shorter because a change that
-	// a stalled watch misses must be received before policy.NotificationDeadline.
+	// a stalled watch misses must be received before policy.NotificationTimeout.
 	optionalWatchWait = 2 * time.Second
 
 	// minCallInterval is the minimum time between the start of a call that returns
