--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -121,8 +121,9 @@
 
 // Watch passes each list that follows the given version to handle. It returns an
 // error when a call fails or the context ends. It makes the next call immediately
-// after each response, as a pause would be a gap in the watch. Only after a
-// response without a change, calls are at least minCallInterval apart.
+// after each response, as a pause would be a gap in the watch. The exception is a
+// response without a change: then it waits until minCallInterval has passed since
+// the start of the call.
 func (c *Client) Watch(ctx context.Context, version int64, handle func(EndpointList)) error {
 	for {
 		start := time.Now()
--- a/internal/discovery/failure_test.go
+++ b/internal/discovery/failure_test.go
@@ -67,7 +67,7 @@
 		}
 		defer nc.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(nc)); err == nil {
-			_, _ = io.WriteString(nc, wire) // fails only if the client has gone
+			_, _ = io.WriteString(nc, wire) // fails only if the client has disconnected
 		}
 	}()
 	return ln.Addr().String()
--- a/internal/discovery/fake_service_test.go
+++ b/internal/discovery/fake_service_test.go
@@ -66,7 +66,7 @@
 			if body == "" {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
-			_, _ = fmt.Fprint(w, body) // fails only if the client has gone
+			_, _ = fmt.Fprint(w, body) // fails only if the client has disconnected
 		case <-done:
 		}
 	}))
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -100,7 +100,7 @@
 	r.buf = strconv.AppendInt(r.buf, instance, 10)
 }
 
-// close ends the decision that open has begun.
+// close ends the current decision.
 func (r *reply) close() { r.buf = append(r.buf, "}}"...) }
 
 // key appends the key of a field of the current decision. Its value has to follow.
--- a/internal/stats/window.go
+++ b/internal/stats/window.go
@@ -1,7 +1,7 @@
 package stats
 
-// The types in this file keep data for two time windows, the current and the previous one. Rotate discards
-// the previous window, so data is kept for at least the length of one window.
+// Indexes of the two time windows for which the types in this file keep data. Rotate discards the previous
+// window, so data is kept for at least the length of one window.
 const (
 	current  = 0
 	previous = 1
