--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,12 +21,12 @@
 		t.Fatal(err)
 	}
 	if cfg.Seed != 0x8c1f30d27a5be964 || cfg.Limits.Sockets != defaultSockets || cfg.Transport.DialTimeout != 20_000_000 ||
-		cfg.Settings.Routers != 1 || cfg.Known.Version != discovery.NoVersion {
+		cfg.Settings.Routers != 1 || cfg.KnownEndpoints.Version != discovery.NoVersion {
 		t.Errorf("got %+v", cfg)
 	}
 }
 
-// TestParseErrorNamesField in one line.
+// TestParseErrorNamesField checks that the error for an invalid field names the field and takes one line.
 func TestParseErrorNamesField(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"here"`, "listen"},
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestParseErrorIsFieldError, whether the JSON type is wrong or the value.
+// TestParseErrorIsFieldError checks that a wrong JSON type and an invalid value are both reported as a
+// *FieldError.
 func TestParseErrorIsFieldError(t *testing.T) {
 	for _, c := range []struct{ old, new, field string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":5`, "listen"},
--- a/internal/simprotocol/endpoints.go
+++ b/internal/simprotocol/endpoints.go
@@ -6,13 +6,13 @@
 	"marlstage/policy"
 )
 
-// endpointListDocument is the form of an endpoint list.
+// endpointListDocument is the JSON form of an endpoint list.
 type endpointListDocument struct {
-	List      *int64             `json:"rosterId"`
+	ListID    *int64             `json:"rosterId"`
 	Endpoints []endpointDocument `json:"hosts"`
 }
 
-// endpointDocument is the form of an endpoint.
+// endpointDocument is the JSON form of an endpoint.
 type endpointDocument struct {
 	Group     int      `json:"unitGroup"`
 	StartedAt int64    `json:"startTime"`
@@ -28,13 +28,13 @@
 	"removed":  policy.Removed,
 }
 
-// defineList keeps an endpoint list for later messages, which name its number.
+// defineList stores an endpoint list, to which later messages refer by its ID.
 func (a *Adapter) defineList(body []byte) error {
 	var doc endpointListDocument
 	if err := json.Unmarshal(body, &doc); err != nil {
 		return decodeError(err)
 	}
-	if doc.List == nil {
+	if doc.ListID == nil {
 		return &FieldError{Field: "rosterId", Reason: "missing"}
 	}
 	endpoints := make([]policy.Endpoint, 0, len(doc.Endpoints))
@@ -45,11 +45,11 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	a.endpointLists[*doc.List] = endpoints
+	a.endpointLists[*doc.ListID] = endpoints
 	return nil
 }
 
-// endpoint checks the fields and converts them.
+// endpoint validates the document and converts it.
 func (d *endpointDocument) endpoint() (policy.Endpoint, error) {
 	state, ok := endpointStates[d.State]
 	if !ok || d.ID == "" {
