--- a/cmd/cacherouter/main.go
+++ b/cmd/cacherouter/main.go
@@ -1,9 +1,9 @@
 // Command cacherouter routes clients' requests to a fleet of cache servers.
 //
-// The environment variable BALANCER_CONFIG names its configuration file, CACHEROUTER_LOG_LEVEL the
-// level from which on lines are logged.
-// SIGTERM and SIGINT start a graceful shutdown; SIGHUP reloads the address of
-// the discovery service from the file.
+// The environment variable BALANCER_CONFIG is the path of the configuration file.
+// CACHEROUTER_LOG_LEVEL is the minimum level of the lines that are logged.
+// SIGTERM and SIGINT start a graceful shutdown. SIGHUP reloads the address of
+// the discovery service from the configuration file.
 package main
 
 import (
@@ -22,12 +22,12 @@
 
 // Environment variables.
 const (
-	configVariable   = "BALANCER_CONFIG"       // names the configuration file
-	logLevelVariable = "CACHEROUTER_LOG_LEVEL" // debug, info, warn or error; info if it is not set
+	configVariable   = "BALANCER_CONFIG"       // path of the configuration file
+	logLevelVariable = "CACHEROUTER_LOG_LEVEL" // debug, info, warn or error; info if unset
 )
 
-// A file that cannot be used at a SIGHUP is read again for 3 s: what the new
-// discovery service has counts as notified 4 s after the signal.
+// On SIGHUP, an unreadable or invalid file is read again every 200 ms for 3 s. The router must not take
+// longer: the endpoint list of the new discovery service counts as notified 4 s after the signal.
 const (
 	reloadAttempts = 15
 	reloadInterval = 200 * time.Millisecond
@@ -42,18 +42,19 @@
 	}
 }
 
-// run serves until a signal ends the program.
+// run starts the server and returns when a signal has shut it down.
 func run() error {
 	path := os.Getenv(configVariable)
 	if path == "" {
 		return errNoConfig
 	}
-	// Before the file is read: no signal must end the program other than by a
-	// drain, and what changes in the file from here on must not be missed.
+	// The signal handlers are installed before the file is read: SIGTERM must always
+	// end the program by draining it, and a SIGHUP that follows a change of the file
+	// must not be lost.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	ctx := untilTerminated()
-	// A log whose reader has gone would end the program at its next line.
+	// By default, writing to a log pipe whose reader has exited would end the program.
 	signal.Ignore(syscall.SIGPIPE)
 	cfg, err := readConfig(path)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return srv.Run(ctx)
 }
 
-// setLogLevel has the server log from the level on that the environment names.
+// setLogLevel sets the server's log level to that of the environment variable, if it is set.
 func setLogLevel(srv *router.Server) error {
 	name := os.Getenv(logLevelVariable)
 	if name == "" {
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// untilTerminated returns a context that ends with the first SIGTERM or
-// SIGINT. Further ones have no effect, up to the end of the program.
+// untilTerminated returns a context that is cancelled by the first SIGTERM or
+// SIGINT. Further ones are ignored until the program exits.
 func untilTerminated() context.Context {
 	ctx, terminate := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 1)
@@ -111,9 +112,9 @@
 	return cfg, nil
 }
 
-// reloadOnHangup moves the server to the configured discovery service at each
-// SIGHUP. A file that cannot be read or parsed leaves the server as it is: an
-// old address costs less than an outage.
+// reloadOnHangup moves the server to the configured discovery service on each
+// SIGHUP. If the file cannot be read or parsed, the server keeps its current
+// address, because an outdated address does less harm than an outage.
 func reloadOnHangup(hangup <-chan os.Signal, path string, srv *router.Server) {
 	for range hangup {
 		if cfg := reloadConfig(path, srv); cfg != nil {
@@ -122,9 +123,9 @@
 	}
 }
 
-// reloadConfig reads the configuration file again. A read may fail for a moment,
-// or meet a file that is not completely written, so it is tried for a while. It
-// logs the first failure, and returns nil if all attempts fail.
+// reloadConfig reads the configuration file again. The file may be missing or
+// incomplete while it is being replaced, so failed reads are repeated. It logs
+// the first failure and returns nil if all attempts fail.
 func reloadConfig(path string, srv *router.Server) *config.Config {
 	for attempt := range reloadAttempts {
 		cfg, err := readConfig(path)
--- a/cmd/cacherouter/main_test.go
+++ b/cmd/cacherouter/main_test.go
@@ -18,17 +18,17 @@
 	"time"
 )
 
-// testTimeout bounds each wait for an event that must come. Only a failing test waits so long.
+// testTimeout bounds each wait for an expected event. Only a failing test reaches it.
 const testTimeout = 30 * time.Second
 
-// What the program logs.
+// Log messages that the tests wait for.
 const (
-	servingMessage      = "msg=serving addr=" // its address follows
+	servingMessage      = "msg=serving addr=" // followed by the address
 	reloadFailedMessage = "configuration is not reloaded"
 	movedMessage        = "discovery moves"
 )
 
-// configFormat takes the address for clients and that of the discovery service.
+// configFormat is a configuration; its arguments are the listen address and the discovery address.
 const configFormat = `{"name":"n0","listen":%q,"discovery":%q,"seed":"1f",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "known":{"index":1,"snapshot":true,"endpoints":[
@@ -36,7 +36,7 @@
  "settings":{"instances":1,"discovery":"automatic","categories":[{"name":"read","effect":"read_like","dedupScope":"all",
   "aim":500000,"hardLimit":1000000,"worth":1}],"limits":{"maxAttempts":1},"rules":{"drainGrace":1000000}}}`
 
-// newCommand builds the program and prepares a start with the given configuration.
+// newCommand builds the program and returns a command that runs it with the given configuration.
 func newCommand(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	dir := t.TempDir()
@@ -53,7 +53,7 @@
 	return cmd
 }
 
-// startServing starts the program and returns its address and the rest of its log once it serves.
+// startServing starts the program, waits until it serves, and returns its address and the rest of its log.
 func startServing(t *testing.T, cmd *exec.Cmd) (addr string, log *bufio.Reader) {
 	t.Helper()
 	stderr, err := cmd.StderrPipe()
@@ -94,7 +94,7 @@
 	}
 }
 
-// terminate sends SIGTERM and waits until the program ends, which must be without an error.
+// terminate sends SIGTERM, waits until the program exits, and fails the test unless the exit code is 0.
 func terminate(t *testing.T, cmd *exec.Cmd, log *bufio.Reader) {
 	t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -106,6 +106,7 @@
 	}
 }
 
+// TestServeUntilSIGTERM checks that the program serves clients and exits without an error on SIGTERM.
 func TestServeUntilSIGTERM(t *testing.T) {
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "127.0.0.1:0", "127.0.0.1:1"))
 	addr, log := startServing(t, cmd)
@@ -113,13 +114,13 @@
 	terminate(t, cmd, log)
 }
 
-// awaitReload waits until the program has logged what came of a SIGHUP.
+// awaitReload waits until the program has logged the outcome of a SIGHUP.
 func awaitReload(t *testing.T, log *bufio.Reader) {
 	t.Helper()
 	for {
 		line, err := log.ReadString('\n')
 		if err != nil {
-			t.Fatalf("the program ended: %v", err)
+			t.Fatalf("the program exited: %v", err)
 		}
 		if strings.Contains(line, reloadFailedMessage) || strings.Contains(line, movedMessage) {
 			return
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestSIGHUPMovesDiscovery: an invalid file changes nothing, a valid one moves the router to the discovery service
-// that it names, and neither ends the program.
+// TestSIGHUPMovesDiscovery checks that on SIGHUP an invalid file changes nothing, a valid file moves the
+// router to the discovery service in it, and the program survives both.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	calls := make(chan struct{}, 100)
 	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -145,19 +146,19 @@
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		awaitReload(t, log) // the file must not change again before it was read
+		awaitReload(t, log) // the file must not change again until it has been read
 	}
 	select {
 	case <-calls:
 	case <-time.After(testTimeout):
-		t.Error("no call at the new address")
+		t.Error("the discovery service at the new address was not called")
 	}
 	ping(t, addr)
 	terminate(t, cmd, log)
 }
 
-// TestSIGHUPBeforeFileIsComplete: a file that can't be used yet, as it is missing or half written, is read again without
-// another signal.
+// TestSIGHUPBeforeFileIsComplete checks that a file which is incomplete when the SIGHUP arrives is read
+// again without another signal. This happens when the file is written without an atomic rename.
 func TestSIGHUPBeforeFileIsComplete(t *testing.T) {
 	calls := make(chan struct{}, 100)
 	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -174,19 +175,20 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	awaitReload(t, log) // it has read the first half
+	awaitReload(t, log) // the incomplete file has been read
 	if err := os.WriteFile(configPath(cmd), complete, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-calls:
 	case <-time.After(testTimeout):
-		t.Error("no call at the new address")
+		t.Error("the discovery service at the new address was not called")
 	}
 	terminate(t, cmd, log)
 }
 
-// TestSignalsDuringShutdown do not change its outcome.
+// TestSignalsDuringShutdown checks that signals which arrive while the program drains do not change its
+// exit code.
 func TestSignalsDuringShutdown(t *testing.T) {
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "127.0.0.1:0", "127.0.0.1:1"))
 	addr, log := startServing(t, cmd)
@@ -199,13 +201,14 @@
 	terminate(t, cmd, log)
 }
 
-// configPath returns the path of the configuration that newCommand wrote.
+// configPath returns the path of the configuration file that newCommand wrote.
 func configPath(cmd *exec.Cmd) string {
 	_, path, _ := strings.Cut(cmd.Env[len(cmd.Env)-1], "=")
 	return path
 }
 
-// TestInvalidConfiguration ends the program with exit code 1 and one line that names the field.
+// TestInvalidConfiguration checks that an invalid configuration ends the program with exit code 1 and one
+// line on standard error that names the field.
 func TestInvalidConfiguration(t *testing.T) {
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "nowhere", "127.0.0.1:1"))
 	var stderr bytes.Buffer
--- a/cmd/cacherouter/signal_test.go
+++ b/cmd/cacherouter/signal_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// killAtEnd ends a program that the test leaves behind, or that hangs.
+// killAtEnd kills the program at the end of the test, or after testTimeout if it hangs.
 func killAtEnd(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	kill := func() { _ = cmd.Process.Kill() } // fails only if the program has ended
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestSIGTERMWhileStarting checks that a SIGTERM during the start ends the program as a later one.
+// TestSIGTERMWhileStarting checks that a SIGTERM while the program reads its configuration ends it
+// without an error, as a later one does.
 func TestSIGTERMWhileStarting(t *testing.T) {
 	cmd := newCommand(t, "")
 	fifo := filepath.Join(t.TempDir(), "config.json")
@@ -42,7 +43,7 @@
 		t.Fatal(err)
 	}
 	killAtEnd(t, cmd)
-	config, err := os.OpenFile(fifo, os.O_WRONLY, 0) // returns once the program has opened it
+	config, err := os.OpenFile(fifo, os.O_WRONLY, 0) // returns when the program has opened the file for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestSIGTERMUpToTheEnd checks that signals which come up to the end of the program do not change how
-// it ends.
+// TestSIGTERMUpToTheEnd checks that repeated SIGTERMs until the program has exited do not change its exit
+// code. A handler that was removed before the exit would let a late signal kill the program.
 func TestSIGTERMUpToTheEnd(t *testing.T) {
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "127.0.0.1:0", "127.0.0.1:1"))
 	startServing(t, cmd)
@@ -72,7 +73,8 @@
 	}
 }
 
-// TestClosedLog checks that the program outlives the reader of its log.
+// TestClosedLog checks that the program keeps serving when the reader of its log exits. By default, a write
+// to the closed pipe would kill it with SIGPIPE.
 func TestClosedLog(t *testing.T) {
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "127.0.0.1:0", "127.0.0.1:1"))
 	logReader, logWriter, err := os.Pipe()
@@ -94,11 +96,11 @@
 	if err := os.WriteFile(configPath(cmd), []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil { // logs that the file is invalid
+	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil { // logs that the configuration is invalid
 		t.Fatal(err)
 	}
 	ping(t, addr)
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil { // logs the drain
+	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil { // logs that the drain starts
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter runs routers under the simulator. It reads batches of
-// events from standard input, one a line, and answers each with a line of
-// decisions on standard output.
+// events from standard input, one batch per line, and answers each with one
+// line of decisions on standard output.
 package main
 
 import (
