--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -1,7 +1,7 @@
 // Command scaletest runs fleets of routers and cache servers of several sizes on loopback and
-// measures what the control traffic costs: the endpoint list, health checks, timers and
-// connections. Without sizes it runs a sweep. Standard output gets a table; -o names a file for
-// the results as JSON lines.
+// measures the cost of the control traffic: the endpoint list, health checks, timers and
+// connections. Without sizes on the command line it runs a default sweep. It writes tables to
+// standard output and, with -o, the results to a file as JSON lines.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	exit(run(os.Args[1:], os.Stdout))
 }
 
-// exit ends the program, and says why where it has failed.
+// exit ends the program. If err is not nil, it prints the error and sets the exit code.
 func exit(err error) {
 	if err == nil || errors.Is(err, pflag.ErrHelp) {
 		os.Exit(0)
@@ -61,7 +61,7 @@
 	return errors.Join(runPoints(ctx, opts, file, out), file.Close())
 }
 
-// runPoints runs the points one after the other, and writes their results as JSON lines and as tables.
+// runPoints runs the points one after the other and writes their results as JSON lines and as tables.
 func runPoints(ctx context.Context, opts *options, results, tables io.Writer) error {
 	program := opts.routerProgram
 	if program == "" {
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // the results stand also where files are left behind
+		defer func() { _ = os.RemoveAll(dir) }() // files that are left behind do not affect the results
 		if program, err = scaletest.BuildRouter(ctx, dir); err != nil {
 			return err
 		}
--- a/cmd/scaletest/main_test.go
+++ b/cmd/scaletest/main_test.go
@@ -17,17 +17,17 @@
 	"marlstage/internal/scaletest"
 )
 
-// fakeRouterEnv is set where the test's own program stands in for the router, to one of the ways
-// in which it behaves after the first PING.
+// fakeRouterEnv is the environment variable that makes the test binary run as a fake router. Its value
+// selects what the fake router does after the first PING.
 const (
 	fakeRouterEnv  = "SCALETEST_FAKE_ROUTER"
-	fakeExits      = "exit"
-	fakeInterrupts = "interrupt"
+	fakeExits      = "exit"      // exit with an error
+	fakeInterrupts = "interrupt" // send SIGINT to the program that has started it
 )
 
 const runTimeout = 60 * time.Second
 
-// The programs, as built.
+// The paths of the programs that TestMain builds.
 var scaletestProgram, routerProgram string
 
 func TestMain(m *testing.M) {
@@ -59,15 +59,14 @@
 	return nil
 }
 
-// runFakeRouter answers the first PING. Then it exits, or interrupts the program that has started
-// it.
+// runFakeRouter answers the first PING and then does what behavior selects. It does not return.
 func runFakeRouter(behavior string) {
 	if err := answerPing(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	if behavior == fakeExits {
-		fmt.Fprintln(os.Stderr, "last words")
+		fmt.Fprintln(os.Stderr, "fake router exits")
 		os.Exit(3)
 	}
 	if err := syscall.Kill(os.Getppid(), syscall.SIGINT); err != nil {
@@ -94,7 +93,7 @@
 	return err
 }
 
-// runProgram runs the program to its end. It must leave none of its processes behind.
+// runProgram runs the program until it exits and checks that it leaves no process behind.
 func runProgram(t *testing.T, fakeRouter string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	mark := "SCALETEST_TEST=" + t.TempDir()
@@ -106,7 +105,7 @@
 		t.Fatal(err)
 	}
 	kill := time.AfterFunc(runTimeout, func() {
-		_ = cmd.Process.Kill() // it fails only where the program has ended
+		_ = cmd.Process.Kill() // fails only if the program has exited
 	})
 	defer kill.Stop()
 	err := cmd.Wait()
@@ -118,7 +117,7 @@
 	return cmd.ProcessState.ExitCode(), out.String(), log.String()
 }
 
-// checkNoProcessLeft looks for processes whose environment has the mark.
+// checkNoProcessLeft checks that no process has the mark in its environment.
 func checkNoProcessLeft(t *testing.T, mark string) {
 	t.Helper()
 	paths, err := filepath.Glob("/proc/[0-9]*/environ")
@@ -127,11 +126,12 @@
 	}
 	for _, path := range paths {
 		if env, err := os.ReadFile(path); err == nil && bytes.Contains(env, []byte(mark+"\x00")) {
-			t.Errorf("left behind: %s", path)
+			t.Errorf("process left behind: %s", path)
 		}
 	}
 }
 
+// TestShortRun checks the table and the results of a short sweep.
 func TestShortRun(t *testing.T) {
 	results := filepath.Join(t.TempDir(), "results")
 	code, table, log := runProgram(t, "", "--sweep", "4x8,6x8,8x8", "--hollow", "6", "--working", "2", "--open", "2", "--rate", "50",
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	decoder := json.NewDecoder(file)
 	for _, caches := range []int{4, 6, 8} {
 		var result scaletest.Result
@@ -159,7 +159,7 @@
 	}
 }
 
-// checkResult checks a point of the short run.
+// checkResult checks the result of a point of TestShortRun.
 func checkResult(t *testing.T, r *scaletest.Result, caches int) {
 	t.Helper()
 	if r.CacheServers != caches || r.Routers != 8 || r.RequestRate != 400 {
@@ -167,25 +167,28 @@
 	}
 	probes, connections := r.Value("router noprobe", "probes"), r.Value("router idle", "connections")
 	if probes != 0 || connections != 0 {
-		t.Errorf("%d caches: %v probes where none may be, %v connections without clients", caches, probes, connections)
+		t.Errorf("%d caches: %v health checks while they are disabled, %v connections without clients", caches, probes, connections)
 	}
-	// A watch that began before the window may be answered within.
+	// A watch that began before the window may be answered within it, so there may be one reply more than
+	// calls. The other .01 absorbs rounding errors.
 	lines, calls := r.Value("router idle", "list lines")*r.WindowSeconds, r.Value("router idle", "watch calls")*r.WindowSeconds
 	if lines > (calls+1.01)*float64(caches) {
 		t.Errorf("%d caches: %v lines in %v calls", caches, lines, calls)
 	}
 	if failures := r.Value("stand-ins", "messages to opened caches that went wrong"); failures != 0 {
-		t.Errorf("%d caches: %v messages a second went wrong", caches, failures)
+		t.Errorf("%d caches: %v failed messages per second", caches, failures)
 	}
 }
 
+// TestRouterExit checks that a run fails when a router exits, and prints the end of the router's log.
 func TestRouterExit(t *testing.T) {
 	code, _, log := runProgram(t, fakeExits, "--caches", "2", "--routers", "2", "--rate", "1", "--window", "1m", "--router", os.Args[0])
-	if code != 1 || !strings.Contains(log, "last words") {
+	if code != 1 || !strings.Contains(log, "fake router exits") {
 		t.Errorf("exit code %d, standard error %q", code, log)
 	}
 }
 
+// TestInterrupt checks that SIGINT ends a run with exit code 1 and leaves no process behind.
 func TestInterrupt(t *testing.T) {
 	code, _, log := runProgram(t, fakeInterrupts, "--caches", "2", "--routers", "2", "--rate", "1", "--window", "1m", "--router", os.Args[0])
 	if code != 1 || !strings.Contains(log, "interrupt") {
@@ -193,6 +196,7 @@
 	}
 }
 
+// TestUsageErrors checks that invalid command lines give exit code 2 and one line on standard error.
 func TestUsageErrors(t *testing.T) {
 	for _, args := range [][]string{{"--nonsense"}, {"--caches", "0", "--routers", "5"}, {"--caches", "-5", "--routers", "5"},
 		{"--caches", "2001", "--routers", "5"}, {"--caches", "5"}, {"--caches", "5", "--routers", "100001"}, {"--caches", "x"},
--- a/cmd/scaletest/options.go
+++ b/cmd/scaletest/options.go
@@ -13,34 +13,34 @@
 	"marlstage/internal/scaletest"
 )
 
-// defaultSweep is caches by routers: four points of one shape, and two that separate the
-// influence of caches from that of routers.
+// defaultSweep lists the points as caches x routers: four with the same ratio of routers to caches, and
+// two that separate the influence of the number of caches from that of routers.
 const defaultSweep = "75x350,150x700,300x1400,600x2800,600x700,150x2800"
 
-// usageError is bad input.
+// usageError is an error in the command line.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return e.err.Error() }
 
 func (e *usageError) Unwrap() error { return e.err }
 
-// options is what the command line asks for.
+// options holds the parsed command line.
 type options struct {
 	points        []scaletest.Point
 	routerProgram string // built from this module if empty
 	resultsFile   string // none if empty
 }
 
-// parseOptions reads the command line. The error is pflag.ErrHelp after the usage was written to
-// out, or else a usageError.
+// parseOptions parses the command line. The error is a *usageError, or pflag.ErrHelp if help was
+// requested and written to out.
 func parseOptions(args []string, out io.Writer) (*options, error) {
 	opts := &options{}
-	var template scaletest.Point // of which each point has another size
+	var template scaletest.Point // the options of all points; their sizes differ
 	var sizes []string
 	flags := pflag.NewFlagSet("scaletest", pflag.ContinueOnError)
 	flags.SetOutput(out)
-	flags.StringSliceVar(&sizes, "sweep", strings.Split(defaultSweep, ","), "points to play, as caches x routers")
-	flags.StringVarP(&opts.resultsFile, "output", "o", "", "file for the results, a JSON line each")
+	flags.StringSliceVar(&sizes, "sweep", strings.Split(defaultSweep, ","), "points to run, as caches x routers")
+	flags.StringVarP(&opts.resultsFile, "output", "o", "", "file for the results, as JSON lines")
 	flags.StringVar(&opts.routerProgram, "router", "", "program to run as the real router; built from this module if empty")
 	addPointFlags(flags, &template)
 	if err := flags.Parse(args); err != nil {
@@ -54,7 +54,7 @@
 	}
 	if flags.Changed("caches") || flags.Changed("routers") {
 		if flags.Changed("sweep") {
-			return nil, &usageError{errors.New("give sweep, or caches and routers")}
+			return nil, &usageError{errors.New("sweep cannot be combined with caches or routers")}
 		}
 		sizes = []string{fmt.Sprintf("%dx%d", template.CacheServers, template.Routers)}
 	}
@@ -67,22 +67,22 @@
 
 func addPointFlags(flags *pflag.FlagSet, p *scaletest.Point) {
 	flags.IntVar(&p.CacheServers, "caches", 0, "cache servers of a single point")
-	flags.IntVar(&p.Routers, "routers", 0, "routers of a single point, as their settings tell them")
-	flags.Float64Var(&p.RequestRate, "rate", 643, "requests a second at each router")
-	flags.IntVar(&p.HollowRouters, "hollow", 280, "hollow routers to play at most; each keeps a watch")
-	flags.IntVar(&p.ActiveRouters, "working", 20, "of these, how many get requests at most")
-	flags.IntVar(&p.ConnectedServers, "open", 1, "cache servers to which the whole fleet's sockets are opened")
-	flags.IntVar(&p.MaxServerConns, "cache-conns", 4500, "connections that a cache server holds")
-	flags.IntVar(&p.RouterDescriptors, "sockets", 1024, "descriptors of a router")
-	flags.IntVar(&p.RouterMemoryMB, "memory", 192, "memory of a router, MB")
-	flags.BoolVar(&p.WatchRequired, "subscribe", false, "discovery tells the list only to those that ask")
-	flags.DurationVar(&p.Warmup, "warm", 5*time.Second, "time before the measuring")
-	flags.DurationVar(&p.Window, "window", 12*time.Second, "time of the measuring")
+	flags.IntVar(&p.Routers, "routers", 0, "routers of a single point, also the fleet size in their settings")
+	flags.Float64Var(&p.RequestRate, "rate", 643, "requests per second at each router")
+	flags.IntVar(&p.HollowRouters, "hollow", 280, "maximum of hollow routers; each keeps a watch")
+	flags.IntVar(&p.ActiveRouters, "working", 20, "maximum of hollow routers that also get requests")
+	flags.IntVar(&p.ConnectedServers, "open", 1, "maximum of cache servers to which the sockets of the whole fleet are opened")
+	flags.IntVar(&p.MaxServerConns, "cache-conns", 4500, "maximum of connections per cache server")
+	flags.IntVar(&p.RouterDescriptors, "sockets", 1024, "file descriptors per router")
+	flags.IntVar(&p.RouterMemoryMB, "memory", 192, "memory per router, in MB")
+	flags.BoolVar(&p.WatchRequired, "subscribe", false, "routers get the endpoint list only by starting a watch")
+	flags.DurationVar(&p.Warmup, "warm", 5*time.Second, "time before the measurement")
+	flags.DurationVar(&p.Window, "window", 12*time.Second, "duration of the measurement")
 	flags.DurationVar(&p.RestartInterval, "restart-every", 0, "time in which one cache server is listed as gone and started again; 0 for never")
-	flags.DurationVar(&p.Outage, "outage", 0, "time for which discovery is down behind that; 0 for never")
+	flags.DurationVar(&p.Outage, "outage", 0, "time for which discovery is down after the measurement; 0 for no outage")
 }
 
-// parsePoints makes a point of each size, which is caches x routers.
+// parsePoints returns a point for each size. A size has the form caches x routers, such as 75x350.
 func parsePoints(template scaletest.Point, sizes []string) ([]scaletest.Point, error) {
 	var points []scaletest.Point
 	for _, size := range sizes {
--- a/internal/scaletest/attempt.go
+++ b/internal/scaletest/attempt.go
@@ -8,15 +8,15 @@
 	"marlstage/policy"
 )
 
-// attempt is one attempt of a request, or a health check where it has none.
+// attempt is one attempt of a request, or a health check if request is nil.
 type attempt struct {
-	request     *request
-	number      int // among the attempts of the request
+	request     *request // nil for a health check
+	number      int      // index among the attempts of the request
 	pool        *pool
 	startedAt   policy.Time
 	deadline    policy.Time
-	startBefore policy.Time    // latest time to be sent, or 0
-	conn        *simulatedConn // once it is sent
+	startBefore policy.Time    // latest time at which it may be sent; 0 for no limit
+	conn        *simulatedConn // nil until it is sent
 	done        bool
 }
 
@@ -27,14 +27,14 @@
 	return now >= a.deadline || a.startBefore != 0 && now >= a.startBefore
 }
 
-// command is what the attempt sends to the cache server.
+// command returns the command that the attempt sends to the cache server.
 func (a *attempt) command(now policy.Time) []byte {
 	r := a.request
 	return requestCommand(r.write, r.key, uint64(r.id), (a.deadline-now)/microsecondsPerMillisecond)
 }
 
-// giveUp ends the wait for the outcome. Where the attempt was sent, it takes its connection with
-// it: a late reply there would be taken for that of the next request.
+// giveUp ends the attempt before its reply. If the attempt was sent, its connection is closed:
+// otherwise a late reply would be taken for the reply to the next request.
 func (a *attempt) giveUp(result policy.Result) {
 	switch {
 	case a.done:
@@ -47,7 +47,7 @@
 	}
 }
 
-// finish records the outcome, the first time that it is called.
+// finish records the outcome of the attempt. Later calls have no effect.
 func (a *attempt) finish(result policy.Result, miss bool) {
 	if a.done {
 		return
--- a/internal/scaletest/cache_count.go
+++ b/internal/scaletest/cache_count.go
@@ -1,9 +1,9 @@
 package scaletest
 
-// This file defines the counters of traffic at a cache server.
+// This file defines the counters of a cache server's traffic.
 
-// CacheCount is what one cache server got from the routers of one group. Bytes are those of
-// commands and replies, without TCP's own.
+// CacheCount holds the traffic between one cache server and the routers of one group. Bytes are those of
+// commands and replies, without TCP and IP headers.
 type CacheCount struct {
 	HealthChecks     int64
 	Attempts         int64
@@ -11,7 +11,7 @@
 	RejectedConns    int64
 	HealthCheckBytes int64
 	AttemptBytes     int64
-	OpenConns        int64 // open now
+	OpenConns        int64 // currently open
 }
 
 func (c *CacheCount) add(other CacheCount) {
@@ -24,7 +24,7 @@
 	c.OpenConns += other.OpenConns
 }
 
-// since is what came after an earlier count, with the connections that are open now.
+// since returns the difference from an earlier count; OpenConns keeps its current value.
 func (c CacheCount) since(earlier CacheCount) CacheCount {
 	return CacheCount{
 		HealthChecks:     c.HealthChecks - earlier.HealthChecks,
--- a/internal/scaletest/cache_server.go
+++ b/internal/scaletest/cache_server.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file implements the stand-ins for cache servers.
+// This file implements the simulated cache servers.
 
 import (
 	"fmt"
@@ -16,17 +16,17 @@
 	"marlstage/internal/resp"
 )
 
-// How long a cache server works on a request, and the sizes of its replies. The time of a hit is
-// distributed exponentially, with this mean.
+// The service times and reply sizes of a cache server. The service time of a hit is distributed
+// exponentially.
 const (
 	meanHitTime = time.Millisecond
 	missTime    = 20 * time.Millisecond
 	missRatio   = .08
 	valueSize   = 512           // bytes
-	replySize   = 2 * valueSize // bytes, at most
+	replySize   = 2 * valueSize // upper bound, bytes
 )
 
-// workTime draws how long a cache server works on a request.
+// workTime draws a random service time for a request and whether the request is a miss.
 func workTime() (elapsed time.Duration, miss bool) {
 	if rand.Float64() < missRatio {
 		return missTime, true
@@ -34,8 +34,8 @@
 	return time.Duration(rand.ExpFloat64() * float64(meanHitTime)), false
 }
 
-// CacheServers are stand-ins for cache servers in one process. Each has an address of its own, and
-// there a port for each group of routers.
+// CacheServers are simulated cache servers in one process. Each has an IP address of its own and
+// listens there on one port per group of routers.
 type CacheServers struct {
 	Addrs [][]string // by cache server and group
 
@@ -44,15 +44,15 @@
 	conns   sync.WaitGroup
 }
 
-// CacheServersSpec says what the stand-ins are.
+// CacheServersSpec configures the simulated cache servers of one process.
 type CacheServersSpec struct {
-	First, Count int           // positions on the endpoint list
-	Groups       int           // groups of routers
-	MaxConns     int64         // connections that one holds; further ones are closed at once
-	IdleTimeout  time.Duration // after which one closes a connection
+	First, Count int           // first position on the endpoint list, and number of cache servers
+	Groups       int           // number of groups of routers
+	MaxConns     int64         // maximum of connections per cache server; further ones are closed at once
+	IdleTimeout  time.Duration // idle time after which a cache server closes a connection
 }
 
-// cacheServer is one stand-in.
+// cacheServer is one simulated cache server.
 type cacheServer struct {
 	openConns atomic.Int64 // over all groups
 	ports     []*cachePort
@@ -71,13 +71,13 @@
 	update(&p.count)
 }
 
-// The address plan: so many cache servers for each value of an address's third byte.
+// Cache servers have addresses 127.77.S.N, with serversPerSubnet of them for each value of S.
 const (
 	serversPerSubnet = 250
 	maxCacheServers  = 8 * serversPerSubnet
 )
 
-// StartCacheServers has the cache servers listen, on free ports.
+// StartCacheServers starts the cache servers on free ports.
 func StartCacheServers(spec CacheServersSpec) (*CacheServers, error) {
 	c := &CacheServers{spec: spec}
 	for position := spec.First; position < spec.First+spec.Count; position++ {
@@ -133,7 +133,7 @@
 	}
 }
 
-// serve answers the commands of one connection in turn.
+// serve answers the commands of one connection one after the other.
 func (c *CacheServers) serve(nc net.Conn, port *cachePort) {
 	reader := redcon.NewReader(nc)
 	for nc.SetReadDeadline(time.Now().Add(c.spec.IdleTimeout)) == nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// The number of a command's arguments, with its name.
+// The number of arguments of a command, including its name.
 const (
 	getArguments = resp.OptionsArgument + 1
 	setArguments = resp.ValueArgument + 1
@@ -164,7 +164,7 @@
 	syntaxError = []byte("-SYNTAX\r\n")
 )
 
-// execute returns the reply to a command, after the time that the work on it takes.
+// execute returns the reply to a command after its service time.
 func execute(cmd redcon.Command) (reply []byte, healthCheck bool) {
 	switch name := strings.ToUpper(string(cmd.Args[0])); {
 	case name == resp.VerbPing:
@@ -193,7 +193,7 @@
 	})
 }
 
-// Count is what each cache server got so far, by cache server and group.
+// Count returns the traffic of each cache server so far, by cache server and group.
 func (c *CacheServers) Count() [][]CacheCount {
 	counts := make([][]CacheCount, len(c.servers))
 	for i, server := range c.servers {
@@ -204,10 +204,10 @@
 	return counts
 }
 
-// Wait waits until every connection has ended.
+// Wait waits until every connection is closed.
 func (c *CacheServers) Wait() { c.conns.Wait() }
 
-// Close takes no more connections.
+// Close stops accepting connections. Open connections are not closed.
 func (c *CacheServers) Close() {
 	for _, server := range c.servers {
 		for _, port := range server.ports {
--- a/internal/scaletest/cache_server_test.go
+++ b/internal/scaletest/cache_server_test.go
@@ -13,6 +13,8 @@
 	"marlstage/internal/resp"
 )
 
+// TestCacheServersReplyAndCount checks the addresses of the cache servers, their replies, the limit of
+// connections, and that the traffic of each group of routers is counted separately.
 func TestCacheServersReplyAndCount(t *testing.T) {
 	servers := startTestCacheServers(t, CacheServersSpec{First: 249, Count: 2, Groups: 2, MaxConns: 2, IdleTimeout: time.Minute})
 	if a, b := servers.Addrs[0][0], servers.Addrs[1][0]; !strings.HasPrefix(a, "127.77.0.250:") || !strings.HasPrefix(b, "127.77.1.1:") {
@@ -26,10 +28,10 @@
 		}
 	}
 	if reply := exchange(t, second, resp.AppendCommand(nil, "C.GET", "k")); string(reply.Raw) != "-SYNTAX\r\n" {
-		t.Errorf("half a command: %q", reply.Raw)
+		t.Errorf("incomplete command: %q", reply.Raw)
 	}
 	if n, err := dialCacheServer(t, servers.Addrs[0][0]).Read(make([]byte, 1)); err == nil {
-		t.Errorf("one connection too many read %d bytes", n)
+		t.Errorf("a connection beyond the limit read %d bytes", n)
 	}
 	counts := servers.Count()
 	want := CacheCount{HealthChecks: 1, Attempts: 2, Handshakes: 1, RejectedConns: 1, HealthCheckBytes: 21, AttemptBytes: int64(attemptBytes), OpenConns: 1}
@@ -43,11 +45,11 @@
 	second.Close()
 	servers.Wait()
 	if counts := servers.Count()[0]; counts[0].OpenConns+counts[1].OpenConns != 0 {
-		t.Errorf("connections that have ended count: %+v", counts)
+		t.Errorf("closed connections are counted as open: %+v", counts)
 	}
 }
 
-// exchangeReadAndWrite returns the bytes of a read and a write with their replies.
+// exchangeReadAndWrite sends a read and a write and returns the size of both with their replies, in bytes.
 func exchangeReadAndWrite(t *testing.T, nc net.Conn) int {
 	t.Helper()
 	bytes := 0
--- a/internal/scaletest/clients.go
+++ b/internal/scaletest/clients.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	maxClientConns    = 300                    // connections of clients to one router
-	clientDialTimeout = time.Second            // for one of them to come up
-	replyGrace        = 100 * time.Millisecond // after a client's timeout, for a reply that is under way
-	maxLatency        = 5 * time.Second        // that the histogram distinguishes
+	maxClientConns    = 300                    // maximum of client connections to one router
+	clientDialTimeout = time.Second            // for a new connection
+	replyGrace        = 100 * time.Millisecond // extra wait after a client's timeout for a reply in transit
+	maxLatency        = 5 * time.Second        // upper bound of the latency histogram
 )
 
-// errNoClientConn says that every connection is busy and there may be no more.
-var errNoClientConn = errors.New("no connection is free")
+// errNoClientConn means that every connection is busy and no further one is allowed.
+var errNoClientConn = errors.New("all client connections are busy")
 
-// Clients are the open-loop clients of one router: a request is sent when it is due, whether
-// those before it were answered or not.
+// Clients are the open-loop clients of one router: each request is sent when it is due, whether
+// or not earlier ones were answered.
 type Clients struct {
 	addr string
-	rate float64 // requests a second
+	rate float64 // requests per second
 
 	mu        sync.Mutex // guards what follows
 	count     ClientCount
@@ -36,21 +36,21 @@
 	openConns int
 }
 
-// ClientCount is what became of the requests that were due.
+// ClientCount holds the outcomes of the requests that were due.
 type ClientCount struct {
 	Due, Served, Rejected, Failed int64
-	Latency                       *hdrhistogram.Histogram // of those served, from when they were due; microseconds
+	Latency                       *hdrhistogram.Histogram // of the served requests, from their due time, in microseconds
 }
 
-// NewClients prepares the clients of the router at this address.
+// NewClients returns the clients of the router at addr. Run sends their requests.
 func NewClients(addr string, rate float64) *Clients {
 	c := &Clients{addr: addr, rate: rate}
 	c.TakeCount()
 	return c
 }
 
-// Run sends requests until ctx ends, or so many if maxRequests is not 0, and waits for their
-// replies.
+// Run sends requests until ctx ends or, unless maxRequests is 0, until it has sent that many. It
+// returns when all of them have an outcome.
 func (c *Clients) Run(ctx context.Context, maxRequests int64) {
 	load := newWorkload(rand.Uint64())
 	due := time.Now()
@@ -68,7 +68,7 @@
 	}
 }
 
-// send sends one request and counts what becomes of it.
+// send sends one request and counts its outcome.
 func (c *Clients) send(message []byte, due, deadline time.Time) {
 	nc, err := c.acquire()
 	if err != nil {
@@ -90,7 +90,7 @@
 		c.count.Failed++
 	case reply.Type == redcon.Bulk || reply.Type == redcon.Array:
 		c.count.Served++
-		// The value is within the histogram's range.
+		// It cannot fail: the value is within the histogram's range.
 		_ = c.count.Latency.RecordValue(min(maxLatency, time.Since(due)).Microseconds())
 	case isBusy(reply):
 		c.count.Rejected++
@@ -99,8 +99,8 @@
 	}
 }
 
-// acquire returns an idle connection or a new one. The error is errNoClientConn where there are as
-// many as there may be.
+// acquire returns an idle connection or a new one. The error is errNoClientConn if all
+// maxClientConns connections are busy.
 func (c *Clients) acquire() (net.Conn, error) {
 	nc, err := c.takeIdle()
 	if nc != nil || err != nil {
@@ -116,7 +116,8 @@
 	return nc, nil
 }
 
-// takeIdle returns an idle connection, or nil and counts one that the caller has to open.
+// takeIdle returns an idle connection. If there is none, it returns nil and counts a new connection,
+// which the caller has to open.
 func (c *Clients) takeIdle() (net.Conn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +133,7 @@
 	return nil, nil
 }
 
-// release takes back a connection, or closes it if its exchange failed.
+// release returns a connection to the idle ones, or closes it if err is not nil.
 func (c *Clients) release(nc net.Conn, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +145,7 @@
 	nc.Close()
 }
 
-// TakeCount is what became of the requests since the last TakeCount.
+// TakeCount returns the outcomes of the requests since the previous call and resets them.
 func (c *Clients) TakeCount() ClientCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,7 +154,7 @@
 	return taken
 }
 
-// sleep waits, or says why ctx has ended.
+// sleep waits for d. If ctx ends first, it returns the cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/scaletest/clients_test.go
+++ b/internal/scaletest/clients_test.go
@@ -9,8 +9,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// startBarrierRouter starts a router that rejects so many requests, and none before the last has
-// arrived. The channel is closed then.
+// startBarrierRouter starts a router that rejects the given number of requests, but none before all of
+// them have arrived. Then it closes the channel.
 func startBarrierRouter(t *testing.T, requests int) (addr string, allArrived <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,18 +37,18 @@
 	return listener.Addr().String(), all
 }
 
-// rejectAfter rejects the first request of a connection once all have arrived.
+// rejectAfter reads one request from a connection, reports it on arrived, and rejects it when all is closed.
 func rejectAfter(nc net.Conn, arrived chan<- struct{}, all <-chan struct{}) {
 	defer nc.Close()
 	if cmd, err := redcon.NewReader(nc).ReadCommand(); err == nil && len(cmd.Args) >= 4 {
 		arrived <- struct{}{}
 		<-all
-		_, _ = fmt.Fprint(nc, "-BUSY 10\r\n") // a client that has gone counts the request as failed
+		_, _ = fmt.Fprint(nc, "-BUSY 10\r\n") // on an error, the client counts the request as failed
 	}
 }
 
-// TestClientsDoNotWaitForReplies checks that all requests arrive at a router that answers none
-// before the last.
+// TestClientsDoNotWaitForReplies checks that the clients are open-loop: all requests arrive at a router that
+// answers none before the last one. Clients that waited for a reply would never send the next request.
 func TestClientsDoNotWaitForReplies(t *testing.T) {
 	const requests = 20
 	addr, allArrived := startBarrierRouter(t, requests)
--- a/internal/scaletest/commands.go
+++ b/internal/scaletest/commands.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file builds the commands of clients and exchanges them for replies.
+// This file builds the commands of clients, sends them and reads the replies.
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"marlstage/internal/resp"
 )
 
-// requestCommand is the command of a request whose client waits so many milliseconds.
+// requestCommand returns the command of a request. The timeout is the client's, in milliseconds.
 func requestCommand(write bool, key, id uint64, timeout int64) []byte {
 	keyText, idText := fmt.Sprintf("%016x", key), fmt.Sprintf("%016x", id)
 	timeout = max(1, timeout)
@@ -24,7 +24,8 @@
 	return resp.AppendCommand(nil, resp.VerbGet, keyText, idText, options)
 }
 
-// roundTrip sends a command and reads its reply into buf. There is one outstanding at a time.
+// roundTrip sends a command and reads its reply into buf. A connection must have no other command
+// outstanding.
 func roundTrip(nc net.Conn, message, buf []byte) (redcon.RESP, error) {
 	if _, err := nc.Write(message); err != nil {
 		return redcon.RESP{}, err
@@ -32,7 +33,7 @@
 	return resp.ReadRaw(nc, buf)
 }
 
-// isBusy reports whether a router rejected the request.
+// isBusy reports whether the reply is a router's rejection of the request.
 func isBusy(reply redcon.RESP) bool {
 	return reply.Type == redcon.Error && strings.HasPrefix(string(reply.Data), resp.BusyCode)
 }
--- a/internal/scaletest/counted_conn.go
+++ b/internal/scaletest/counted_conn.go
@@ -1,13 +1,13 @@
 package scaletest
 
-// This file implements connections that count their bytes.
+// This file implements connections that count the bytes they carry.
 
 import (
 	"net"
 	"sync/atomic"
 )
 
-// countedListener adds up the bytes of its connections.
+// countedListener counts the bytes of all connections that it accepts.
 type countedListener struct {
 	net.Listener
 	bytesIn, bytesOut *atomic.Int64
@@ -21,7 +21,7 @@
 	return countedConn{Conn: nc, bytesIn: l.bytesIn, bytesOut: l.bytesOut}, nil
 }
 
-// countedConn adds up its bytes.
+// countedConn adds the bytes that it reads and writes to the given counters.
 type countedConn struct {
 	net.Conn
 	bytesIn, bytesOut *atomic.Int64
@@ -33,7 +33,8 @@
 	return n, err
 }
 
-// Write counts the bytes before it sends them, so that no reader has them before they count.
+// Write counts the bytes before it sends them, so that the peer never holds bytes that are not counted yet.
+// It corrects the count if not all were written.
 func (c countedConn) Write(b []byte) (int, error) {
 	c.bytesOut.Add(int64(len(b)))
 	n, err := c.Conn.Write(b)
--- a/internal/scaletest/descriptors.go
+++ b/internal/scaletest/descriptors.go
@@ -1,19 +1,20 @@
 package scaletest
 
-// This file implements a hollow router's budget of file descriptors.
+// This file limits the file descriptors of a hollow router.
 
 import "slices"
 
-// How a router shares out its file descriptors: some are reserved for what is not counted, and of
-// the rest this fraction may be connections to cache servers.
+// How a router divides its file descriptors: reservedDescriptors are kept for those that are not
+// counted, and serverShareNumerator/serverShareDenominator of the rest may be connections to cache
+// servers.
 const (
 	reservedDescriptors    = 48
 	serverShareNumerator   = 2
 	serverShareDenominator = 5
 )
 
-// takeDescriptor takes a descriptor for a connection. Where none is left, it closes the connection
-// that has been idle for longest, and reports false if there is none.
+// takeDescriptor reserves a descriptor for a connection and reports whether it succeeded. If none is
+// left, it closes the connection that has been idle for longest; it fails if no connection is idle.
 func (h *hollowRouter) takeDescriptor() bool {
 	if h.openConns >= h.maxConns && !h.closeLongestIdle() {
 		h.descriptorShortage = true
@@ -39,7 +40,8 @@
 	return true
 }
 
-// returnDescriptor has the pools dispatch again if there was a shortage.
+// returnDescriptor releases the descriptor of a closed connection. After a shortage, it schedules a
+// dispatch of every pool.
 func (h *hollowRouter) returnDescriptor() {
 	h.openConns--
 	if !h.descriptorShortage {
--- a/internal/scaletest/discovery_agent.go
+++ b/internal/scaletest/discovery_agent.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file implements the stand-in for the discovery service.
+// This file implements the simulated discovery service.
 
 import (
 	"math/rand/v2"
@@ -11,47 +11,47 @@
 	"time"
 )
 
-// The cache servers come in so many sizes, in turn on the list, and each size is larger than the
-// one before by the step.
+// The nominal weights of the cache servers cycle through serverSizes values along the endpoint list:
+// 1, 1+serverSizeStep and so on.
 const (
 	serverSizes    = 3
 	serverSizeStep = .5
 )
 
-// Live weights are renewed after a time between these two.
+// The live weights change after random intervals between these bounds.
 const (
 	minRenewInterval = 500 * time.Millisecond
 	maxRenewInterval = 1400 * time.Millisecond
 )
 
-// DiscoveryAgent is a stand-in for discovery, with one port for each group of routers.
+// DiscoveryAgent is a simulated discovery service with one port for each group of routers.
 type DiscoveryAgent struct {
 	Addrs []string // by group
 
-	mu        sync.Mutex // guards what follows, up to changed
+	mu        sync.Mutex // guards the fields down to changed
 	hosts     []host
 	version   int64
 	snapshots []encodedList // by group
-	deltas    []encodedList // by group, since the version before
+	deltas    []encodedList // by group; the changes since the previous version
 	down      bool
-	changed   chan struct{} // closed at the next change of anything above
+	changed   chan struct{} // closed and replaced when a field above changes
 
 	ports []*discoveryPort // by group
 	stop  chan struct{}
 }
 
-// discoveryPort is the port of discovery for one group of routers.
+// discoveryPort is the port of the discovery service for one group of routers.
 type discoveryPort struct {
 	server                              *http.Server
 	calls, endpoints, bytesIn, bytesOut atomic.Int64
 }
 
-// DiscoveryCount is what the routers of one group called for. Bytes are those of HTTP with its
-// headers, without TCP's own.
+// DiscoveryCount holds the discovery traffic of one group of routers. Bytes are those of HTTP with its
+// headers, without TCP and IP headers.
 type DiscoveryCount struct{ Calls, Endpoints, BytesIn, BytesOut int64 }
 
-// StartDiscoveryAgent serves the list of the cache servers at these addresses, by cache server and
-// group. The list changes only by the methods of the agent.
+// StartDiscoveryAgent serves the endpoint list of the cache servers with the given addresses, by cache
+// server and group. The list changes only when a method of the agent changes it.
 func StartDiscoveryAgent(addrs [][]string, groups int) (*DiscoveryAgent, error) {
 	a := &DiscoveryAgent{
 		changed:   make(chan struct{}),
@@ -89,19 +89,20 @@
 	a.ports = append(a.ports, port)
 	a.Addrs = append(a.Addrs, listener.Addr().String())
 	go func() {
-		// It returns when the agent is closed; were that sooner, the routers' calls would fail.
+		// Serve returns when the agent is closed. If it fails before that, the calls of the routers fail
+		// as well, so its error need not be reported.
 		_ = port.server.Serve(countedListener{listener, &port.bytesIn, &port.bytesOut})
 	}()
 	return nil
 }
 
-// notifyChange wakes the calls that wait. The caller holds the lock.
+// notifyChange wakes the calls that wait for a change. The caller holds the lock.
 func (a *DiscoveryAgent) notifyChange() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// KeepRenewingWeights renews the live weights until Close.
+// KeepRenewingWeights changes the live weights at random intervals until Close.
 func (a *DiscoveryAgent) KeepRenewingWeights() {
 	for {
 		select {
@@ -113,8 +114,8 @@
 	}
 }
 
-// KeepRestarting lists one cache server after the other as terminated and started again, until
-// Close. The stand-in itself goes on.
+// KeepRestarting lists one cache server after the other as terminating, terminated and in service
+// again, each within one interval, until Close. The simulated cache server itself keeps running.
 func (a *DiscoveryAgent) KeepRestarting(interval time.Duration) {
 	statuses := []string{statusTerminating, statusTerminated, statusInService}
 	for position := 0; ; position = (position + 1) % len(a.hosts) {
@@ -129,7 +130,7 @@
 	}
 }
 
-// SetDown has discovery answer no more calls, or answer again.
+// SetDown starts or ends an outage. Calls during an outage wait until it ends.
 func (a *DiscoveryAgent) SetDown(down bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -137,14 +138,14 @@
 	a.notifyChange()
 }
 
-// Snapshot is the complete list as the routers of one group see it now.
+// Snapshot returns the complete current endpoint list for the routers of one group.
 func (a *DiscoveryAgent) Snapshot(group int) []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.snapshots[group].body
 }
 
-// Count is what each group of routers called for so far.
+// Count returns the discovery traffic of each group of routers so far.
 func (a *DiscoveryAgent) Count() []DiscoveryCount {
 	var counts []DiscoveryCount
 	for _, port := range a.ports {
@@ -158,10 +159,10 @@
 	return counts
 }
 
-// Close ends the agent.
+// Close stops the agent.
 func (a *DiscoveryAgent) Close() {
 	close(a.stop)
 	for _, port := range a.ports {
-		_ = port.server.Close() // the listener's error: nothing is left to do with it
+		_ = port.server.Close() // only closing the listener can fail, which can be ignored here
 	}
 }
--- a/internal/scaletest/discovery_agent_test.go
+++ b/internal/scaletest/discovery_agent_test.go
@@ -11,14 +11,14 @@
 	"marlstage/internal/discovery"
 )
 
-// receivedList is an endpoint list as it arrives.
+// receivedList is a decoded endpoint list.
 type receivedList struct {
 	Version   int64 `json:"index"`
 	Snapshot  bool
 	Endpoints []struct{ Address, Status string }
 }
 
-// callDiscovery calls discovery and returns the list, or nil where the reply is not one.
+// callDiscovery calls discovery and returns the list, or nil if the status of the reply is not 200.
 func callDiscovery(t *testing.T, agent *DiscoveryAgent, group int, query string) *receivedList {
 	t.Helper()
 	resp, err := http.Get("http://" + agent.Addrs[group] + "/discovery/hosts" + query)
@@ -43,13 +43,14 @@
 	return list
 }
 
-// expectedList is what a call is to return.
+// expectedList describes the list that a call must return.
 type expectedList struct {
 	snapshot  bool
 	version   int64
 	endpoints int
 }
 
+// expectList calls discovery and fails the test unless the reply is the expected list.
 func expectList(t *testing.T, agent *DiscoveryAgent, group int, query string, want expectedList) *receivedList {
 	t.Helper()
 	list := callDiscovery(t, agent, group, query)
@@ -59,6 +60,8 @@
 	return list
 }
 
+// TestDiscoveryAgentServesSnapshotsAndDeltas checks the replies to callers with the current, the previous, an
+// older and no version, the addresses per group, invalid parameters, and the counters.
 func TestDiscoveryAgentServesSnapshotsAndDeltas(t *testing.T) {
 	agent := startTestDiscoveryAgent(t, [][]string{{"127.0.0.1:1", "127.0.0.1:2"}, {"127.0.0.1:3", "127.0.0.1:4"}, {"127.0.0.1:5", "127.0.0.1:6"}}, 2)
 	for group, port := range []string{":3", ":4"} {
@@ -70,14 +73,14 @@
 	expectList(t, agent, 0, "?after=1&wait_ms=1", expectedList{version: 1})
 	watched := make(chan *receivedList, 1)
 	go func() { watched <- callDiscovery(t, agent, 0, "?after=1&wait_ms=60000") }()
-	agent.RenewWeights() // before or after the call: the reply is the same
+	agent.RenewWeights() // the reply is the same whether the call arrives before or after this
 	if list := <-watched; list.Snapshot || list.Version != 2 || len(list.Endpoints) != 3 {
-		t.Errorf("a watch got %+v", list)
+		t.Errorf("the watch got %+v", list)
 	}
 	agent.SetStatus(1, "terminated", 0)
 	delta := expectList(t, agent, 0, "?after=2&wait_ms=60000", expectedList{version: 3, endpoints: 1})
 	if delta.Endpoints[0].Status != "terminated" {
-		t.Errorf("a delta: %+v", delta.Endpoints)
+		t.Errorf("the delta has endpoints %+v", delta.Endpoints)
 	}
 	expectList(t, agent, 0, "?after=1&wait_ms=60000", expectedList{snapshot: true, version: 3, endpoints: 2})
 	for _, query := range []string{"?after=x&wait_ms=1", "?after=1", "?after=-1&wait_ms=1", "?after=1&wait_ms=-1"} {
@@ -96,17 +99,19 @@
 	}
 }
 
+// TestDiscoveryAgentDoesNotReplyWhileDown checks that calls during an outage wait, and are answered when it
+// ends.
 func TestDiscoveryAgentDoesNotReplyWhileDown(t *testing.T) {
 	agent := startTestDiscoveryAgent(t, [][]string{{"127.0.0.1:1"}}, 1)
 	agent.SetDown(true)
 	client := http.Client{Timeout: 50 * time.Millisecond}
 	if resp, err := client.Get("http://" + agent.Addrs[0] + "/discovery/hosts"); err == nil {
-		t.Errorf("the reply was %s while down", resp.Status)
+		t.Errorf("got reply %s during the outage", resp.Status)
 	}
 	watched := make(chan *receivedList, 1)
 	go func() { watched <- callDiscovery(t, agent, 0, "?after=1&wait_ms=0") }()
 	agent.SetDown(false)
 	if list := <-watched; list == nil || len(list.Endpoints) != 0 {
-		t.Errorf("at its return the reply was %+v", list)
+		t.Errorf("the reply after the outage was %+v", list)
 	}
 }
--- a/internal/scaletest/discovery_calls.go
+++ b/internal/scaletest/discovery_calls.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file answers the calls to the discovery agent.
+// This file serves the HTTP requests to the discovery agent.
 
 import (
 	"net/http"
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// discoveryPath is where discovery serves the endpoint list.
+// discoveryPath is the URL path of the endpoint list.
 const discoveryPath = "/discovery/hosts"
 
-// maxWatchWait bounds how long a caller may have a watch held open.
+// maxWatchWait is the longest time for which a watch is held open.
 const maxWatchWait = 60_000 // milliseconds
 
-// discoveryQuery is what a call asks for.
+// discoveryQuery holds the parameters of a call.
 type discoveryQuery struct {
 	isWatch bool
 	after   int64         // version that the caller has, or noVersion
-	wait    time.Duration // for a change
+	wait    time.Duration // longest wait for a change
 }
 
+// noVersion means that the caller has no endpoint list yet.
 const noVersion = -1
 
-// parseDiscoveryQuery reads the parameters of a call, and reports whether they are valid.
+// parseDiscoveryQuery parses the parameters of a call and reports whether they are valid.
 func parseDiscoveryQuery(values url.Values) (query discoveryQuery, ok bool) {
 	if !values.Has("after") {
 		return discoveryQuery{after: noVersion}, true
@@ -44,13 +45,13 @@
 	}, true
 }
 
-// serve answers a call for the complete list, or a watch.
+// serve answers a request for the complete list or a watch.
 func (a *DiscoveryAgent) serve(group int, w http.ResponseWriter, r *http.Request) {
 	port := a.ports[group]
 	port.calls.Add(1)
 	query, ok := parseDiscoveryQuery(r.URL.Query())
 	if !ok {
-		http.Error(w, "bad after or wait_ms", http.StatusBadRequest)
+		http.Error(w, "invalid after or wait_ms", http.StatusBadRequest)
 		return
 	}
 	list, ok := a.waitForList(group, query, r.Context().Done())
@@ -60,10 +61,11 @@
 	port.endpoints.Add(int64(list.endpoints))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(list.body)))
-	_, _ = w.Write(list.body) // it fails for a router that has gone, which needs no list
+	_, _ = w.Write(list.body) // fails only if the router has disconnected
 }
 
-// waitForList waits until there is a list to send. It reports false if the caller is gone before.
+// waitForList waits until there is a list to send: until discovery is up and, for a watch, the list has
+// changed or the wait has ended. It reports false if gone is closed first, when the caller disconnects.
 func (a *DiscoveryAgent) waitForList(group int, query discoveryQuery, gone <-chan struct{}) (encodedList, bool) {
 	timeout := time.After(query.wait)
 	mayWait := query.isWatch
@@ -85,8 +87,8 @@
 	return a.listSince(group, query.after), true
 }
 
-// listSince is what the caller lacks: nothing, the last change, or else the complete list. The
-// caller holds the lock.
+// listSince returns the changes since a version: an empty list for the current version, the last delta
+// for the one before, or else the complete list. The caller holds the lock.
 func (a *DiscoveryAgent) listSince(group int, version int64) encodedList {
 	switch version {
 	case a.version:
--- a/internal/scaletest/discovery_hosts.go
+++ b/internal/scaletest/discovery_hosts.go
@@ -7,33 +7,34 @@
 	"math/rand/v2"
 )
 
-// The states of an endpoint on the wire.
+// The statuses of an endpoint on the wire.
 const (
 	statusInService   = "in_service"
 	statusTerminating = "terminating"
 	statusTerminated  = "terminated"
 )
 
-// serversPerPlacementGroup is how many cache servers in a row are listed with the same group.
+// serversPerPlacementGroup is the number of consecutive cache servers that are listed with the same
+// group of caches.
 const serversPerPlacementGroup = 8
 
-// host is a cache server as discovery knows it.
+// host is the state of a cache server in the discovery service.
 type host struct {
-	addrs          []string // by group
+	addrs          []string // by group of routers
 	status         string
 	nominalWeight  float64
 	weight         float64
 	startedAt      int64 // Unix time in milliseconds
-	changedVersion int64 // of the list at the last change
+	changedVersion int64 // version of the list in which the host last changed
 }
 
-// encodedList is an endpoint list as it is sent.
+// encodedList is an endpoint list in its JSON form.
 type encodedList struct {
 	body      []byte
 	endpoints int
 }
 
-// publish makes a new version of the list, with what the function changes.
+// publish applies change to each host and publishes the result as a new version of the list.
 func (a *DiscoveryAgent) publish(change func(position int, h *host)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,10 +54,10 @@
 	a.notifyChange()
 }
 
-// nameMultiplier scatters the names of the cache servers over 32 bits.
+// nameMultiplier spreads the names of the cache servers over 32 bits (multiplicative hashing).
 const nameMultiplier = 2654435761
 
-// encode makes a list of the hosts that are included, as one group of routers sees them.
+// encode returns the list of the hosts that include selects, with the addresses for one group of routers.
 func (a *DiscoveryAgent) encode(group int, snapshot bool, include func(*host) bool) encodedList {
 	list := encodedList{body: fmt.Appendf(nil, `{"index":%d,"snapshot":%t,"endpoints":[`, a.version, snapshot)}
 	for i := range a.hosts {
@@ -76,10 +77,10 @@
 	return list
 }
 
-// maxWeightReduction is by which part of the nominal weight a live one is lower at most.
+// maxWeightReduction is the largest fraction by which a live weight is below the nominal one.
 const maxWeightReduction = .25
 
-// RenewWeights gives every cache server in service a new live weight.
+// RenewWeights gives every cache server in service a new random live weight.
 func (a *DiscoveryAgent) RenewWeights() {
 	a.publish(func(_ int, h *host) {
 		if h.status == statusInService {
@@ -88,7 +89,7 @@
 	})
 }
 
-// SetStatus changes the status of one cache server and the time of its last start, in milliseconds.
+// SetStatus sets the status of one cache server and its last start, in Unix milliseconds.
 func (a *DiscoveryAgent) SetStatus(position int, status string, startedAt int64) {
 	a.publish(func(i int, h *host) {
 		if i == position {
--- a/internal/scaletest/endpoint_list_cache.go
+++ b/internal/scaletest/endpoint_list_cache.go
@@ -9,15 +9,15 @@
 	"marlstage/internal/discovery"
 )
 
-// endpointListCache keeps the last list that was parsed: most hollow routers of a process get the
-// same one, and parsing it once leaves the processor time to what is measured.
+// endpointListCache keeps the endpoint list that was parsed last. Most hollow routers of a process
+// receive the same list, and parsing it only once saves processor time for what is measured.
 type endpointListCache struct {
 	mu     sync.Mutex
 	raw    []byte
 	parsed *discovery.EndpointList
 }
 
-// parse reads a reply of discovery, once for all routers in a row that got the same.
+// parse parses a reply of discovery, or returns the cached list if the previous reply was the same.
 func (c *endpointListCache) parse(raw []byte) (*discovery.EndpointList, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scaletest/figure_names.go
+++ b/internal/scaletest/figure_names.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// The roles whose figures are reported. They stand in recorded results, which must stay comparable.
+// The roles whose figures are reported. Recorded results contain these names, so they must not change.
 const (
 	roleLoaded           = "router loaded"
 	roleNoHealthChecks   = "router noprobe"
@@ -19,7 +19,7 @@
 	roleStandIns         = "stand-ins"
 )
 
-// The names of figures that several roles have, or that others are derived from.
+// The names of figures that several roles have or that other figures are derived from.
 const (
 	figureProcessorTime    = "processor time"
 	figureMemory           = "memory"
@@ -41,7 +41,7 @@
 
 // The units of figures.
 const (
-	unitNone               = "" // a number of things
+	unitNone               = "" // a plain number
 	unitPerSecond          = "1/s"
 	unitKilobytesPerSecond = "KB/s"
 	unitMegabytes          = "MB"
@@ -51,13 +51,13 @@
 	unitPercentOfRequests  = "% of requests"
 )
 
-// By what bytes are divided for a unit.
+// The divisors that convert bytes to other units.
 const (
 	bytesPerKilobyte = 1e3
 	bytesPerMegabyte = 1e6
 )
 
-// What a figure rests on, where it is not the sample that it was counted on.
+// The basis of a figure, unless it was counted on a sample of the fleet (see countedOn).
 const (
 	basisMeasured = "measured"
 	basisDerived  = "worked out"
--- a/internal/scaletest/figures.go
+++ b/internal/scaletest/figures.go
@@ -1,10 +1,10 @@
 package scaletest
 
-// This file derives the figures of a point from two samples.
+// This file computes the figures of a point from two samples.
 
 import "fmt"
 
-// reporter works out the figures of what happened between two samples.
+// reporter computes the figures of the interval between two samples.
 type reporter struct {
 	*Result
 	point         *Point
@@ -12,7 +12,7 @@
 	span          float64 // seconds
 }
 
-// newResult works out what happened between two samples.
+// newResult computes the result of a point from the samples at the start and the end of the window.
 func newResult(p *Point, before, after *sample) *Result {
 	span := after.at.Sub(before.at).Seconds()
 	result := &Result{
@@ -34,7 +34,7 @@
 	return result
 }
 
-// rate is how often something happened a second at each of so many.
+// rate returns the number of events per second and member, for a number of members given by among.
 func (r *reporter) rate(events int64, among float64) float64 { return float64(events) / among / r.span }
 
 func (r *reporter) kilobyteRate(bytes int64, among float64) float64 {
@@ -47,7 +47,7 @@
 
 func percent(part, whole int64) float64 { return 100 * float64(part) / float64(whole) }
 
-// addCacheCount adds what each of so many had of a count.
+// addCacheCount adds the figures of a count, divided by among.
 func (r *reporter) addCacheCount(role string, c CacheCount, among float64, basis string) {
 	r.add(role, figureHealthChecks, unitPerSecond, r.rate(c.HealthChecks, among), basis)
 	r.add(role, figureHealthCheckBytes, unitKilobytesPerSecond, r.kilobyteRate(c.HealthCheckBytes, among), basis)
@@ -58,7 +58,7 @@
 	r.add(role, figureRejectedConns, unitPerSecond, r.rate(c.RejectedConns, among), basis)
 }
 
-// addDiscoveryCount adds what each of so many had of the calls of a group of routers.
+// addDiscoveryCount adds the figures of the discovery traffic of a group of routers, divided by among.
 func (r *reporter) addDiscoveryCount(role string, group routerGroup, among float64, basis string) {
 	after, before := r.after.discovery[group], r.before.discovery[group]
 	bytes := after.BytesIn - before.BytesIn + after.BytesOut - before.BytesOut
@@ -82,7 +82,7 @@
 	r.addClients(role, r.after.clients[group])
 }
 
-// cacheCount is what one cache server got from a group of routers between the samples.
+// cacheCount returns the traffic of one cache server with a group of routers between the samples.
 func (r *reporter) cacheCount(position int, group routerGroup) CacheCount {
 	return r.after.cacheServers[position][group].since(r.before.cacheServers[position][group])
 }
@@ -105,8 +105,8 @@
 	return float64(microseconds) / microsecondsPerMillisecond
 }
 
-// addControl derives what control costs one router. Its health checks cost what the loaded router
-// uses beyond one that makes none.
+// addControl derives the cost of the control traffic to one router. The cost of its health checks is the
+// processor time that the loaded router uses beyond one that makes none.
 func (r *reporter) addControl() {
 	checking := r.Value(roleLoaded, figureProcessorTime) - r.Value(roleNoHealthChecks, figureProcessorTime)
 	total := r.Value(roleIdle, figureProcessorTime) + max(0, checking)
@@ -117,8 +117,8 @@
 	r.add(roleControl, figureControlBytes, unitKilobytesPerSecond, bytes, basisMeasured)
 }
 
-// addHollowRouters adds the figures of the active hollow routers, and what they make of a cache
-// server once the sample is scaled to the fleet.
+// addHollowRouters adds the figures of the active hollow routers, and the load on a cache server that
+// results when they are scaled to the whole fleet.
 func (r *reporter) addHollowRouters() {
 	active, fleet := r.point.activeRouters(), float64(r.point.Routers)
 	basis := countedOn(active, r.point.Routers)
@@ -139,8 +139,8 @@
 	r.add(roleBusiestServer, figureConnections, unitNone, float64(busiest.OpenConns)*scale, derivedBasis)
 }
 
-// simulatedCounts is what the active hollow routers did at all cache servers, and the most of each
-// kind at one of them.
+// simulatedCounts returns the traffic of the active hollow routers with all cache servers, and the
+// maximum of each counter over the cache servers.
 func (r *reporter) simulatedCounts() (total, busiest CacheCount) {
 	for i := range r.after.fleet.CacheServers {
 		c := r.after.fleet.CacheServers[i].since(r.before.fleet.CacheServers[i])
@@ -152,7 +152,7 @@
 	return total, busiest
 }
 
-// addSimulatedCount adds what each of so many had of a count without bytes.
+// addSimulatedCount adds the figures of a count of simulated traffic, which has no bytes, divided by among.
 func (r *reporter) addSimulatedCount(role string, c CacheCount, among float64, basis string) {
 	r.add(role, figureHealthChecks, unitPerSecond, r.rate(c.HealthChecks, among), basis)
 	r.add(role, figureAttempts, unitPerSecond, r.rate(c.Attempts, among), basis)
@@ -160,7 +160,7 @@
 	r.add(role, figureConnections, unitNone, float64(c.OpenConns)/among, basis)
 }
 
-// addConnectedServers adds what came over the sockets of the hollow routers.
+// addConnectedServers adds the figures of the traffic on the sockets of the hollow routers.
 func (r *reporter) addConnectedServers() {
 	connected := r.point.connectedServers()
 	var total CacheCount
@@ -194,7 +194,7 @@
 	r.add(roleStandIns, "messages to opened caches that went wrong", unitPerSecond, r.rate(failures, 1), basisMeasured)
 }
 
-// listNotMeasured says what the figures leave out.
+// listNotMeasured adds the notes on what the figures do not cover.
 func (r *reporter) listNotMeasured() {
 	p := r.point
 	r.NotMeasured = []string{
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file implements the hollow routers of one process.
+// This file manages the hollow routers of one process.
 
 import (
 	"context"
@@ -16,41 +16,42 @@
 	"marlstage/policy"
 )
 
-// FleetSpec says what the hollow routers of one process are. A hollow router is the policy engine
-// with a watch of its own. An active one also gets requests, made inside the process, and keeps
-// connections to all cache servers as a router does: simulated to most, on sockets to some.
+// FleetSpec configures the hollow routers of one process. A hollow router is the policy engine with a
+// watch of its own. An active one also gets requests, which are generated in the process, and keeps
+// connections to all cache servers as a router does. These connections are simulated; those to the
+// connected servers are also repeated on sockets.
 type FleetSpec struct {
-	// RepresentedRouters has an element for each active router: how many further routers of the
-	// fleet, which are not simulated, its sockets represent.
+	// RepresentedRouters has an element for each active router: the number of further routers of the
+	// fleet, not simulated themselves, whose sockets repeat the traffic of this one.
 	RepresentedRouters []int
-	WatchOnlyRouters   int     // hollow routers beside the active ones, which only keep a watch
-	RequestRate        float64 // requests a second at each active router
+	WatchOnlyRouters   int     // further hollow routers, which only keep a watch
+	RequestRate        float64 // requests per second at each active router
 
-	// An active router counts as done after so many requests and health checks; never, where
-	// RequestQuota is 0.
+	// An active router is done after RequestQuota requests and HealthCheckQuota health checks, or
+	// never if RequestQuota is 0.
 	RequestQuota     int64
 	HealthCheckQuota int64
 
-	ConnectedServers  []int // positions on the endpoint list of the cache servers that get sockets
+	ConnectedServers  []int // positions on the endpoint list of the cache servers to which sockets are opened
 	RouterDescriptors int   // file descriptors of a router
 	Seed              uint64
 	DiscoveryAddr     string
 	InitialEndpoints  json.RawMessage // the endpoint list at the start
 	Settings          json.RawMessage
 
-	// OnEndpoints, if set, is called after each endpoint list that a hollow router has applied.
+	// OnEndpoints, if set, is called each time a hollow router has applied an endpoint list.
 	OnEndpoints func(version int64) `json:"-"`
 }
 
-// FleetCount is what the hollow routers of one process have done.
+// FleetCount holds the counters of the hollow routers of one process.
 type FleetCount struct {
-	Requests, Served, Timers int64        // at the active routers
-	CacheServers             []CacheCount // of the active routers, by position on the list; without bytes
-	Mirrored                 CacheCount   // what went over sockets, also for the represented routers
-	MirrorFailures           int64        // messages on these sockets that went wrong
-	Endpoints                int64        // list lines received from discovery by all hollow routers
+	Requests, Served, Timers int64        // of all hollow routers; only active ones have requests
+	CacheServers             []CacheCount // simulated traffic by position on the list; without bytes
+	Mirrored                 CacheCount   // traffic on sockets, including the represented routers'
+	MirrorFailures           int64        // messages on these sockets that failed
+	Endpoints                int64        // endpoints received from discovery by all hollow routers
 	DiscoveryBytes           int64        // bytes received from discovery by all hollow routers
-	LatenessP99              int64        // 99th percentile of requests' delays since the last Count, microseconds
+	LatenessP99              int64        // 99th percentile of the requests' delays since the last call of Count, in microseconds
 }
 
 func (c *FleetCount) add(other FleetCount) {
@@ -70,10 +71,10 @@
 	c.LatenessP99 = max(c.LatenessP99, other.LatenessP99)
 }
 
-// maxLateness is the largest delay of a request that the histogram distinguishes.
+// maxLateness is the upper bound of the histogram of request delays.
 const maxLateness = time.Minute
 
-// Fleet is the hollow routers of one process.
+// Fleet runs the hollow routers of one process.
 type Fleet struct {
 	Done chan struct{} // closed when all active routers are done
 
@@ -85,20 +86,20 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	unfinished atomic.Int64   // active routers that are not done
-	undrained  sync.WaitGroup // routers that have not drained
+	undrained  sync.WaitGroup // routers that have not finished draining
 	mirrors    sync.WaitGroup
 	lists      endpointListCache
 
-	// From and to discovery.
+	// Traffic with the discovery service.
 	endpoints, bytesIn, bytesOut atomic.Int64
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	mirrored       CacheCount
 	mirrorFailures int64
-	lateness       *hdrhistogram.Histogram // of requests, in microseconds
+	lateness       *hdrhistogram.Histogram // delays of requests, in microseconds
 }
 
-// StartFleet starts the hollow routers.
+// StartFleet starts the hollow routers of one process.
 func StartFleet(spec FleetSpec) (*Fleet, error) {
 	f := &Fleet{
 		Done:     make(chan struct{}),
@@ -129,8 +130,8 @@
 	return f, nil
 }
 
-// Drain ends the requests and waits until no attempt is outstanding and every connection to a
-// cache server is closed.
+// Drain stops the arrival of requests and waits until no attempt is outstanding and every connection to
+// a cache server is closed.
 func (f *Fleet) Drain() {
 	for _, h := range f.routers {
 		h.run(func() { h.draining = true })
@@ -139,10 +140,10 @@
 	f.mirrors.Wait()
 }
 
-// Close ends the hollow routers.
+// Close stops the hollow routers.
 func (f *Fleet) Close() { f.cancel() }
 
-// Count adds up what the routers have done.
+// Count returns the counters so far. It resets the histogram behind LatenessP99.
 func (f *Fleet) Count() FleetCount {
 	count := FleetCount{
 		CacheServers:   make([]CacheCount, len(f.initial.Endpoints)),
@@ -169,12 +170,12 @@
 
 func (f *Fleet) recordLateness(microseconds int64) {
 	f.locked(func() {
-		// A value beyond the histogram's range is left out.
+		// RecordValue fails for a value beyond the histogram's range, which is not recorded.
 		_ = f.lateness.RecordValue(max(minHistogramValue, microseconds))
 	})
 }
 
-// routerDone counts down the active routers that are not done.
+// routerDone counts an active router as done and closes Done after the last one.
 func (f *Fleet) routerDone() {
 	if f.unfinished.Add(-1) == 0 {
 		close(f.Done)
--- a/internal/scaletest/fleet_test.go
+++ b/internal/scaletest/fleet_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// The fleet of the test below.
+// The fleet of TestFleetCountsMatchStandIns.
 const (
 	testServers      = 4
 	testActive       = 3
-	testRepresented  = 2 // by each active router
+	testRepresented  = 2 // routers represented by each active router
 	testWatchOnly    = 2
-	testRenewals     = 3 // of the live weights
+	testRenewals     = 3 // changes of the live weights
 	testRequestQuota = 300
 )
 
-// testFleet is a fleet of hollow routers with its stand-ins.
+// testFleet is a fleet of hollow routers with its cache servers and discovery agent.
 type testFleet struct {
 	*Fleet
 	servers *CacheServers
 	agent   *DiscoveryAgent
-	applied chan int64 // versions of the endpoint lists that were applied
+	applied chan int64 // receives the version of each endpoint list that a router applies
 }
 
 func startTestFleet(t *testing.T) *testFleet {
@@ -55,8 +55,8 @@
 	return f
 }
 
-// renewWeights renews the live weights and waits until all routers have applied each new version.
-// It returns how many bytes of lists that takes at least.
+// renewWeights changes the live weights testRenewals times and waits each time until all routers have
+// applied the new version. It returns the minimum size of the lists that this takes, in bytes.
 func (f *testFleet) renewWeights(t *testing.T) (bytes int) {
 	t.Helper()
 	for version := int64(2); version < 2+testRenewals; version++ {
@@ -65,18 +65,19 @@
 		for n := 0; n < testActive+testWatchOnly; {
 			select {
 			case applied := <-f.applied:
-				if applied == version { // else a reply without changes
+				if applied == version { // otherwise the reply had no changes
 					n++
 				}
 			case <-time.After(testTimeout):
-				t.Fatalf("not all routers got version %d", version)
+				t.Fatalf("not all routers applied version %d", version)
 			}
 		}
 	}
 	return bytes
 }
 
-// TestFleetCountsMatchStandIns checks that what hollow routers send, by their count, is what arrives.
+// TestFleetCountsMatchStandIns checks that the counters of the hollow routers agree with those of the cache
+// servers and the discovery agent. The results of a point are computed from both.
 func TestFleetCountsMatchStandIns(t *testing.T) {
 	f := startTestFleet(t)
 	listBytes := f.renewWeights(t)
@@ -95,7 +96,7 @@
 	f.checkDiscovery(t, count, int64(listBytes))
 }
 
-// checkServers compares the cache servers' counts with the simulated ones.
+// checkServers compares the counters of the cache servers with those of the fleet.
 func (f *testFleet) checkServers(t *testing.T, fleet FleetCount) {
 	t.Helper()
 	var arrived CacheCount
@@ -106,7 +107,7 @@
 		}
 		if connected := position%2 == 0; !connected {
 			if got != (CacheCount{}) {
-				t.Errorf("cache server %d is not to be connected and got %+v", position, got)
+				t.Errorf("cache server %d must not be connected, but got %+v", position, got)
 			}
 			continue
 		}
@@ -117,7 +118,8 @@
 	}
 }
 
-// checkConnectedServer returns what is to have arrived, without the bytes: the fleet counts none.
+// checkConnectedServer checks the traffic of a connected cache server. It returns the expected traffic
+// without bytes, which the fleet does not count.
 func checkConnectedServer(t *testing.T, position int, got, simulated CacheCount) CacheCount {
 	t.Helper()
 	want := CacheCount{
@@ -134,7 +136,7 @@
 	return want
 }
 
-// checkDiscovery compares the discovery agent's counts with those of the fleet.
+// checkDiscovery compares the counters of the discovery agent with those of the fleet.
 func (f *testFleet) checkDiscovery(t *testing.T, fleet FleetCount, minBytes int64) {
 	t.Helper()
 	sent, endpoints := f.agent.Count()[0], int64(testServers*testRenewals*(testActive+testWatchOnly))
--- a/internal/scaletest/helpers_test.go
+++ b/internal/scaletest/helpers_test.go
@@ -10,7 +10,7 @@
 	"marlstage/internal/resp"
 )
 
-// testTimeout is how long a test waits for what has to come; only a failing test waits so long.
+// testTimeout bounds each wait for an expected event. Only a failing test reaches it.
 const testTimeout = 30 * time.Second
 
 func startTestCacheServers(t *testing.T, spec CacheServersSpec) *CacheServers {
@@ -44,7 +44,7 @@
 	return nc
 }
 
-// exchange sends a command and returns the reply as it is on the wire.
+// exchange sends a command and returns the reply with its raw bytes.
 func exchange(t *testing.T, nc net.Conn, message []byte) redcon.RESP {
 	t.Helper()
 	if _, err := nc.Write(message); err != nil {
--- a/internal/scaletest/histogram.go
+++ b/internal/scaletest/histogram.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file configures the histograms of times.
+// This file configures the histograms of latencies and delays.
 
 import (
 	"time"
@@ -8,15 +8,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The resolution of the histograms, and the quantiles that are read from them.
+// The resolution of the histograms, and the percentiles that are read from them.
 const (
-	minHistogramValue = 1 // microsecond
+	minHistogramValue = 1 // microseconds
 	significantDigits = 3
 	medianQuantile    = 50
 	p99Quantile       = 99
 )
 
-// newHistogram makes a histogram of microseconds.
+// newHistogram returns a histogram of times in microseconds up to longest.
 func newHistogram(longest time.Duration) *hdrhistogram.Histogram {
 	return hdrhistogram.New(minHistogramValue, longest.Microseconds(), significantDigits)
 }
--- a/internal/scaletest/hollow_requests.go
+++ b/internal/scaletest/hollow_requests.go
@@ -1,16 +1,16 @@
 package scaletest
 
-// This file implements the requests of a hollow router, from arrival to answer.
+// This file implements the requests of a hollow router from arrival to answer.
 
 import (
 	"marlstage/internal/resp"
 	"marlstage/policy"
 )
 
-// simulatedUtilization is the load that the simulated cache servers report.
+// simulatedUtilization is the utilization in the load reports of simulated replies.
 const simulatedUtilization = .4
 
-// request is a request from its arrival until it is answered and none of its attempts is outstanding.
+// request is a request that is not answered yet or still has outstanding attempts.
 type request struct {
 	id          int64
 	deadline    policy.Time
@@ -21,7 +21,8 @@
 	outstanding int // attempts without an outcome
 }
 
-// scheduleArrival has the next request arrive when it is due, whatever became of those before.
+// scheduleArrival schedules the next request at its due time, whether or not earlier ones are answered
+// (open loop).
 func (h *hollowRouter) scheduleArrival() {
 	h.nextArrival = h.nextArrival.Add(h.workload.interval(h.fleet.spec.RequestRate))
 	h.scheduleAt(h.nextArrival.UnixMicro(), func() {
@@ -34,7 +35,7 @@
 	})
 }
 
-// arrive takes the next request of the workload.
+// arrive takes the next request from the workload and passes it to the engine.
 func (h *hollowRouter) arrive() {
 	next := h.workload.next()
 	h.requestCount++
@@ -61,7 +62,7 @@
 	h.checkQuota()
 }
 
-// checkQuota marks the router as done once it has had its requests and health checks.
+// checkQuota marks the router as done once it has reached its quotas of requests and health checks.
 func (h *hollowRouter) checkQuota() {
 	spec := &h.fleet.spec
 	if h.quotaMet || spec.RequestQuota <= 0 {
@@ -145,7 +146,7 @@
 	h.forgetIfDone(r)
 }
 
-// answer gives a request its final answer. Attempts that wait for a connection end here.
+// answer marks a request as answered and ends its attempts that still wait for a connection.
 func (h *hollowRouter) answer(r *request) {
 	if r == nil || r.answered {
 		return
--- a/internal/scaletest/hollow_router.go
+++ b/internal/scaletest/hollow_router.go
@@ -11,28 +11,28 @@
 	"marlstage/policy"
 )
 
-// fleetSeedShift puts the seed of the fleet above the number of the router, so that no two routers of
-// a run share a seed.
+// fleetSeedShift puts the seed of the fleet above the bits of the router's number, so that no two
+// routers of a run share a seed.
 const fleetSeedShift = 32
 
-// hollowRouter is the policy engine with a watch, and with simulated connections where it is
-// active. Whatever runs in it holds its lock: see run.
+// hollowRouter is the policy engine with a watch and, if it is active, with simulated connections. All
+// its code runs with the lock held (see run), except the watch's calls to discovery.
 type hollowRouter struct {
 	fleet        *Fleet
 	active       bool            // whether it gets requests
-	mirrorDelays []time.Duration // by which each router that its sockets represent follows; the first is itself
-	client       *http.Client    // of discovery
+	mirrorDelays []time.Duration // delays of its own sockets (0, the first) and of each represented router's
+	client       *http.Client    // for calls to discovery
 
-	mu                  sync.Mutex // guards what follows
+	mu                  sync.Mutex // guards the fields below
 	engine              *policy.Engine
 	workload            *workload
 	now                 policy.Time
-	pendingEvents       []policy.Event // to be delivered to the engine
+	pendingEvents       []policy.Event // not yet delivered to the engine
 	requests            map[int64]*request
 	pools               []*pool // in the order of the initial endpoint list
 	poolsByName         map[string]*pool
 	openConns           int // to all cache servers
-	maxConns            int // bound of openConns
+	maxConns            int // limit of openConns
 	descriptorShortage  bool
 	outstandingAttempts int // attempts and health checks without an outcome
 	nextArrival         time.Time
@@ -69,7 +69,8 @@
 	return h, nil
 }
 
-// chooseMirrorDelays spreads the represented routers over an interval between health checks.
+// chooseMirrorDelays gives the represented routers random delays within one health check interval, so
+// that their health checks do not coincide.
 func (h *hollowRouter) chooseMirrorDelays(represented int) {
 	h.mirrorDelays = make([]time.Duration, 1+represented)
 	for i := range represented {
@@ -90,7 +91,8 @@
 	}
 }
 
-// run runs a task in the router, and then delivers the events that came of it to the engine.
+// run runs a task with the lock held and then delivers the resulting events to the engine. It does
+// nothing once the fleet is closed.
 func (h *hollowRouter) run(task func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -105,7 +107,7 @@
 	}
 }
 
-// deliverEvents hands the pending events to the engine, with those that its actions give rise to.
+// deliverEvents delivers the pending events to the engine, including those that its actions cause.
 func (h *hollowRouter) deliverEvents() {
 	for len(h.pendingEvents) > 0 {
 		event := h.pendingEvents[0]
@@ -125,12 +127,12 @@
 	h.fleet.undrained.Done()
 }
 
-// scheduleAt runs a task in the router at a later time.
+// scheduleAt schedules a task of the router (see run) for a later time.
 func (h *hollowRouter) scheduleAt(t policy.Time, task func()) {
 	time.AfterFunc(time.Duration(t-h.now)*time.Microsecond, func() { h.run(task) })
 }
 
-// notify has an event delivered to the engine before run returns.
+// notify queues an event, which is delivered to the engine before run returns.
 func (h *hollowRouter) notify(event policy.Event) { h.pendingEvents = append(h.pendingEvents, event) }
 
 func (h *hollowRouter) start() {
@@ -144,7 +146,7 @@
 	}
 }
 
-// perform carries out an action of the engine.
+// perform executes an action of the engine.
 func (h *hollowRouter) perform(action policy.Action) {
 	switch action := action.(type) {
 	case policy.Send:
@@ -169,7 +171,7 @@
 	}
 }
 
-// addTo adds what the router has done to a count of the fleet.
+// addTo adds the router's counters to those of the fleet.
 func (h *hollowRouter) addTo(count *FleetCount) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/scaletest/hollow_watch.go
+++ b/internal/scaletest/hollow_watch.go
@@ -13,7 +13,7 @@
 	"marlstage/policy"
 )
 
-// newDiscoveryClient makes a client whose bytes are counted at the fleet.
+// newDiscoveryClient returns an HTTP client that adds its bytes to the fleet's counters.
 func newDiscoveryClient(f *Fleet) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		MaxConnsPerHost:     1,
@@ -28,7 +28,7 @@
 	}}
 }
 
-// startWatch keeps a watch going until a call fails.
+// startWatch starts a watch, unless one is running. It ends when a call to discovery fails.
 func (h *hollowRouter) startWatch() {
 	if h.watching {
 		return
@@ -49,8 +49,8 @@
 	}
 }
 
-// watchFailed notifies the engine where it is the one to start the next watch, and else starts
-// that after a backoff.
+// watchFailed notifies the engine if the engine is responsible for starting the next watch. Otherwise it
+// starts the next watch after a backoff.
 func (h *hollowRouter) watchFailed() {
 	h.watching = false
 	if h.fleet.settings.WatchRequired {
@@ -61,7 +61,7 @@
 	h.scheduleAt(h.now+backoff, h.startWatch)
 }
 
-// callDiscovery waits for what has changed after a version of the endpoint list.
+// callDiscovery requests the changes of the endpoint list since a version and waits for the reply.
 func (h *hollowRouter) callDiscovery(version int64) (*discovery.EndpointList, error) {
 	wait := discovery.WatchWait(h.fleet.settings.WatchRequired)
 	ctx, cancel := context.WithTimeout(h.fleet.ctx, wait+discovery.ResponseAllowance)
@@ -87,14 +87,14 @@
 	return h.fleet.lists.parse(body)
 }
 
-// applyEndpoints takes over an endpoint list.
+// applyEndpoints updates the pools with an endpoint list and passes it to the engine.
 func (h *hollowRouter) applyEndpoints(list *discovery.EndpointList) {
 	h.endpointsVersion = list.Version
 	h.watchBackoff.Reset()
 	h.fleet.endpoints.Add(int64(len(list.Endpoints)))
 	if list.Snapshot {
 		for _, p := range h.pools {
-			p.inService = false // unless it is listed
+			p.inService = false // set again below if it is listed
 		}
 	}
 	for _, endpoint := range list.Endpoints {
--- a/internal/scaletest/log_tail.go
+++ b/internal/scaletest/log_tail.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file keeps the end of the log of a process.
+// This file keeps the last lines of a process's log.
 
 import (
 	"bytes"
@@ -8,19 +8,19 @@
 	"sync"
 )
 
-// maxTailLines is how many lines of a process's log are kept.
+// maxTailLines is the number of lines that a logTail keeps.
 const maxTailLines = 10
 
-// logTail keeps the last lines that were written.
+// logTail is an io.Writer that keeps the last lines that were written to it.
 type logTail struct {
 	onLine func(line string) // if set, called with each line
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	lines   []string
-	partial []byte // the line that has not ended
+	partial []byte // the last line, if it is incomplete
 }
 
-// Write takes lines in pieces of any length. It never fails.
+// Write implements io.Writer. A line may be split over several calls. It never fails.
 func (t *logTail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// String is the lines that are kept.
+// String returns the kept lines.
 func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scaletest/mirror.go
+++ b/internal/scaletest/mirror.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file implements the sockets that repeat the traffic of simulated connections.
+// This file repeats the traffic of simulated connections on sockets.
 
 import (
 	"net"
@@ -9,15 +9,15 @@
 
 const mirrorDialTimeout = 5 * time.Second
 
-// mirroredMessage is what a simulated connection carried.
+// mirroredMessage is a command that a simulated connection has carried.
 type mirroredMessage struct {
 	bytes       []byte
 	sentAt      time.Time
 	healthCheck bool
 }
 
-// mirror repeats on a socket what a simulated connection does, with a delay: for the hollow router
-// itself, or for another router of the fleet that is not simulated.
+// mirror repeats the traffic of a simulated connection on a socket after a delay, either for the hollow
+// router itself or for a router of the fleet that it represents.
 func (f *Fleet) mirror(addr string, openedAt time.Time, delay time.Duration, messages <-chan mirroredMessage) {
 	time.Sleep(time.Until(openedAt.Add(delay)))
 	nc, err := net.DialTimeout("tcp", addr, mirrorDialTimeout)
@@ -35,7 +35,8 @@
 		f.countMirrored(message, err)
 	}
 	if err == nil {
-		// Without a reset, so many connections would hold their ports for a minute. If it fails, they do.
+		// Close with a reset: otherwise the ports of the many connections would stay in TIME_WAIT for a
+		// minute. The error is ignored, as nothing else depends on it.
 		_ = nc.(*net.TCPConn).SetLinger(0)
 	}
 }
--- a/internal/scaletest/point.go
+++ b/internal/scaletest/point.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file defines the size and the options of one run, and validates them.
+// This file defines and validates the size and the options of one run.
 
 import (
 	"fmt"
@@ -8,44 +8,44 @@
 	"time"
 )
 
-// Point is the size and the options of one run.
+// Point holds the size of the fleet and the options of one run.
 type Point struct {
 	CacheServers, Routers int
 
-	RequestRate       float64       // requests a second at each router
-	HollowRouters     int           // hollow routers to simulate, at most; each keeps a watch
-	ActiveRouters     int           // of these, how many get requests, at most
-	ConnectedServers  int           // cache servers to which the whole fleet's sockets are opened, at most
-	MaxServerConns    int           // connections that a cache server holds
-	RouterDescriptors int           // file descriptors of a router
-	RouterMemoryMB    int           // memory of a router
-	WatchRequired     bool          // the endpoint list goes only to routers that ask for it
-	Warmup, Window    time.Duration // before the measurement, and of it
-	RestartInterval   time.Duration // in which one cache server is listed as terminated and started again; 0 for never
-	Outage            time.Duration // for which discovery is down after the window; 0 for never
+	RequestRate       float64       // requests per second at each router
+	HollowRouters     int           // maximum of hollow routers; each keeps a watch
+	ActiveRouters     int           // maximum of hollow routers that also get requests
+	ConnectedServers  int           // maximum of cache servers to which the sockets of the whole fleet are opened
+	MaxServerConns    int           // maximum of connections per cache server
+	RouterDescriptors int           // limit of file descriptors per router
+	RouterMemoryMB    int           // memory limit per router
+	WatchRequired     bool          // routers get the endpoint list only by starting a watch
+	Warmup, Window    time.Duration // time before the measurement, and its duration
+	RestartInterval   time.Duration // time in which one cache server is listed as terminated and started again; 0 for never
+	Outage            time.Duration // time for which discovery is down after the window; 0 for no outage
 }
 
-// How the stand-ins are spread over processes.
+// How the stand-ins are distributed over processes.
 const (
 	cacheServersPerProcess  = 200
 	hollowRoutersPerProcess = 350
-	minActiveProcesses      = 2 // processes of hollow routers, where there are so many active ones
+	minActiveProcesses      = 2 // minimum of hollow router processes if there are at least as many active routers
 )
 
-// The ranges of what a point may be given.
+// The valid ranges of a point's fields.
 const (
 	maxRouters     = 100_000
 	minRate        = 1e-3
 	maxRate        = 1e5
 	minDescriptors = 64
-	maxLimit       = 1e6 // of connections, descriptors and megabytes
+	maxLimit       = 1e6 // upper bound of connections, descriptors and megabytes
 	minWindow      = .1  // seconds
 	maxSeconds     = 3600
 )
 
-// RangeError says that a value of a point is out of range.
+// RangeError means that a field of a point is out of range.
 type RangeError struct {
-	Name            string // of the command-line flag
+	Name            string // name of the command-line flag
 	Value, Min, Max float64
 }
 
@@ -53,19 +53,19 @@
 	return fmt.Sprintf("%s is %v, want %v to %v", e.Name, e.Value, e.Min, e.Max)
 }
 
-// DescriptorError says that a point needs more file descriptors than a process may have.
+// DescriptorError means that a point needs more file descriptors than a process may open.
 type DescriptorError struct {
 	Needed int
 	Limit  uint64
 }
 
 func (e *DescriptorError) Error() string {
-	return fmt.Sprintf("up to %d descriptors in a process, of %d: give less for open, hollow or cache-conns",
+	return fmt.Sprintf("a process needs up to %d file descriptors, but the limit is %d: lower open, hollow or cache-conns",
 		e.Needed, e.Limit)
 }
 
-// Validate checks that everything is in range and that the point fits into this machine's limit of
-// file descriptors.
+// Validate checks that all fields are in range and that the point needs no more file descriptors than
+// a process may open.
 func (p *Point) Validate() error {
 	ranges := []RangeError{
 		{"caches", float64(p.CacheServers), 1, maxCacheServers},
@@ -103,22 +103,22 @@
 	return nil
 }
 
-// The bounds by which the descriptors of a process are estimated.
+// Upper bounds for the estimate of a process's file descriptors.
 const (
-	descriptorReserve = 200 // for what is not counted
-	connsPerRouter    = 2   // of a router to discovery, or to a cache server that is connected
-	connsWithClosing  = 3   // of a router to a cache server, with some more on their way down
+	descriptorReserve = 200 // for descriptors that are not counted
+	connsPerRouter    = 2   // connections of a router to discovery, or to a connected cache server
+	connsWithClosing  = 3   // connections of a router to a cache server, including those that are closing
 	realRouters       = int(groupCount - firstRealGroup)
 )
 
-// fleetDescriptors is how many descriptors a process of hollow routers needs at most.
+// fleetDescriptors returns an upper bound of the descriptors of a process of hollow routers.
 func (p *Point) fleetDescriptors() int {
 	watches := connsPerRouter * p.hollowRouters() / p.fleetProcesses()
 	mirrors := connsWithClosing * p.connectedServers() * (1 + p.Routers/p.fleetProcesses())
 	return watches + mirrors
 }
 
-// cacheServerDescriptors is how many descriptors a process of cache servers needs at most.
+// cacheServerDescriptors returns an upper bound of the descriptors of a process of cache servers.
 func (p *Point) cacheServerDescriptors() int {
 	listeners := cacheServersPerProcess * int(groupCount)
 	connsOfServer := min(p.MaxServerConns, connsPerRouter*p.Routers)
@@ -132,14 +132,15 @@
 	return max(p.activeRouters(), min(p.HollowRouters, p.Routers))
 }
 
-// fleetProcesses is the number of processes with hollow routers.
+// fleetProcesses returns the number of processes with hollow routers.
 func (p *Point) fleetProcesses() int {
 	needed := (p.hollowRouters() + hollowRoutersPerProcess - 1) / hollowRoutersPerProcess
 	return max(min(minActiveProcesses, p.activeRouters()), needed)
 }
 
-// connectedPosition is the position on the list of the k-th cache server to which sockets are
-// opened: they are spread out, and where there are enough, all have the middle one of the sizes.
+// connectedPosition returns the position on the endpoint list of the k-th cache server to which sockets
+// are opened. These are spread evenly over the list and, if there are enough cache servers, all have the
+// middle one of the nominal weights.
 func (p *Point) connectedPosition(k int) int {
 	position := k * p.CacheServers / p.connectedServers()
 	if p.CacheServers/p.connectedServers() >= serverSizes {
@@ -148,5 +149,5 @@
 	return position
 }
 
-// share is the i-th of n nearly equal parts of a total.
+// share returns the i-th of n nearly equal parts of a total.
 func share(total, n, i int) int { return total*(i+1)/n - total*i/n }
--- a/internal/scaletest/pool.go
+++ b/internal/scaletest/pool.go
@@ -8,20 +8,20 @@
 	"marlstage/policy"
 )
 
-// The bounds of a router's connections to one cache server, as in package router: its part of what
-// all routers may have there, and at least so many.
+// The limit of a router's connections to one cache server, as in package router: an equal share of
+// maxFleetConns, which is the limit of all routers together, but at least minConns.
 const (
 	maxFleetConns = 72
 	minConns      = 2
 )
 
-// settleTime is the time between a reply on a connection and its next request, as in package
+// settleTime is the minimum time between a reply on a connection and its next command, as in package
 // router.
 const settleTime = 10_000 // microseconds
 
-// pool is the connections of one hollow router to one cache server, kept as a router keeps them. A
-// connection comes up at once. The cache server's part is simulated here; where it is connected,
-// sockets repeat what the connections carry.
+// pool manages the connections of one hollow router to one cache server as a router does. The connections
+// and the replies are simulated, and a connection is established at once. If the pool is connected,
+// sockets repeat the traffic of its connections.
 type pool struct {
 	router           *hollowRouter
 	position         int // of the cache server on the endpoint list
@@ -30,8 +30,8 @@
 	inService        bool // whether the endpoint list allows new work
 	settleTimerArmed bool
 	maxConns         int
-	idle             []*simulatedConn // the most recently used one last
-	waiting          []*attempt       // for a connection
+	idle             []*simulatedConn // in the order of last use
+	waiting          []*attempt       // attempts that wait for a connection
 	count            CacheCount
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// send sends an attempt as soon as there is a connection for it.
+// send sends an attempt as soon as a connection is available.
 func (p *pool) send(a *attempt) {
 	h := p.router
 	h.outstandingAttempts++
@@ -58,18 +58,18 @@
 	}
 }
 
-// dialTimedOut ends an attempt that still waits for a connection.
+// dialTimedOut ends an attempt if it still waits for a connection after the dial timeout.
 func (p *pool) dialTimedOut(a *attempt) {
 	switch {
 	case a.conn != nil:
 	case p.count.OpenConns == 0:
-		a.finish(policy.NotSent, false) // no descriptor was left, so nothing was dialed
+		a.finish(policy.NotSent, false) // no descriptor was available, so no connection was attempted
 	default:
 		a.finish(policy.ConnectFailed, false)
 	}
 }
 
-// dispatch gives connections to the attempts that wait for one.
+// dispatch assigns connections to the waiting attempts and closes connections that were idle for too long.
 func (p *pool) dispatch() {
 	h := p.router
 	p.closeIdle(h.now - p.idleCutoff())
@@ -91,16 +91,18 @@
 	}
 }
 
-// idleCutoff is how long a connection may be idle. The cache server closes it only later, so that no
-// request meets a connection on its way down.
+// idleCutoff returns the time after which an idle connection is closed. It is shorter than the keepalive
+// of the cache server, so that no request is sent on a connection that the cache server is closing.
 func (p *pool) idleCutoff() policy.Time { return p.router.fleet.transport.Keepalive * 3 / 4 }
 
-// acquire returns the settled connection that was used last, or a new one, or nil.
+// acquire returns the most recently used settled connection or else a new one. It returns nil if the
+// attempt has to wait.
 func (p *pool) acquire() *simulatedConn {
 	if c := p.takeSettled(); c != nil {
 		return c
 	}
-	// Each idle connection settles soon, and then serves one of those that wait.
+	// Each idle connection settles soon and then serves one of the waiting attempts, so a new one is
+	// opened only if more attempts wait than connections are idle.
 	mayOpen := len(p.idle) < len(p.waiting) && p.count.OpenConns < int64(p.maxConns)
 	if mayOpen && p.router.takeDescriptor() {
 		return p.open()
@@ -129,7 +131,7 @@
 	return c
 }
 
-// armSettleTimer dispatches again when the connection that was idle first has settled.
+// armSettleTimer schedules a dispatch for the time when the longest idle connection has settled.
 func (p *pool) armSettleTimer() {
 	if len(p.idle) == 0 || p.settleTimerArmed {
 		return
@@ -141,14 +143,14 @@
 	})
 }
 
-// release takes back a connection that has had its reply.
+// release returns a connection to the pool after its reply.
 func (p *pool) release(c *simulatedConn) {
 	c.idleSince = p.router.now
 	p.idle = append(p.idle, c)
 	p.dispatch()
 }
 
-// closeIdle closes the connections that have been idle since a time or longer.
+// closeIdle closes the connections that became idle at or before the given time.
 func (p *pool) closeIdle(since policy.Time) {
 	p.idle = slices.DeleteFunc(p.idle, func(c *simulatedConn) bool {
 		if c.idleSince <= since {
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file starts processes, exchanges messages with them and reads their usage.
+// This file starts processes, exchanges messages with them and reads their resource usage.
 
 import (
 	"encoding/json"
@@ -13,18 +13,18 @@
 	"github.com/prometheus/procfs"
 )
 
-// process is one that this program has started.
+// process is a process that this program has started.
 type process struct {
 	name     string
 	cmd      *exec.Cmd
-	encoder  *json.Encoder // to its standard input
-	decoder  *json.Decoder // of its standard output
+	encoder  *json.Encoder // writes to its standard input
+	decoder  *json.Decoder // reads its standard output
 	log      logTail
-	ended    chan struct{}
-	stopping atomic.Bool
+	ended    chan struct{} // closed when the process has exited
+	stopping atomic.Bool   // set when stop is called
 }
 
-// processEndedError says that a process ended by itself.
+// processEndedError means that a process exited without being stopped.
 type processEndedError struct {
 	name  string
 	state *os.ProcessState
@@ -32,12 +32,13 @@
 }
 
 func (e *processEndedError) Error() string {
-	return fmt.Sprintf("%s ended by itself (%v); its log ends with:\n%s", e.name, e.state, e.log)
+	return fmt.Sprintf("%s exited unexpectedly (%v); its log ends with:\n%s", e.name, e.state, e.log)
 }
 
-// start starts a process; onExit is called if it ends by itself.
+// start starts the process. It calls onExit if the process exits without being stopped.
 func (p *process) start(onExit func(error)) error {
-	// A signal from the terminal is for the first process alone, and none outlives that.
+	// A process group of its own keeps signals of the terminal, such as Ctrl-C, from the child process.
+	// Pdeathsig kills it when this program exits.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	p.cmd.Stderr = &p.log
 	p.ended = make(chan struct{})
@@ -49,15 +50,16 @@
 }
 
 func (p *process) wait(onExit func(error)) {
-	_ = p.cmd.Wait() // the process state says how it ended
+	_ = p.cmd.Wait() // the process state has the exit status
 	close(p.ended)
 	if !p.stopping.Load() {
 		onExit(&processEndedError{name: p.name, state: p.cmd.ProcessState, log: p.log.String()})
 	}
 }
 
-// startWorker starts this program as a worker and reads its reply when it is ready. The process is
-// returned also where it did not become ready, and has to be stopped then.
+// startWorker starts this program as a worker, sends its role and decodes its first reply into ready. If
+// the worker was started but did not become ready, startWorker returns both the process, which the caller
+// has to stop, and an error.
 func startWorker(name string, r role, ready any, onExit func(error)) (*process, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -81,7 +83,7 @@
 	return p, p.exchange(r, ready)
 }
 
-// do has a process carry out a command and reads its reply.
+// do sends a command to the worker and decodes its reply.
 func (p *process) do(command workerCommand, reply any) error { return p.exchange(command, reply) }
 
 func (p *process) exchange(message, reply any) error {
@@ -95,17 +97,17 @@
 	return nil
 }
 
-// stop ends the process and waits for its end.
+// stop kills the process and waits until it has exited.
 func (p *process) stop() {
 	p.stopping.Store(true)
-	_ = p.cmd.Process.Kill() // it fails only where the process has ended
+	_ = p.cmd.Process.Kill() // fails only if the process has exited
 	<-p.ended
 }
 
-// usage is what processes have used: seconds of processor time, and bytes of memory.
+// usage is the resource usage of one or more processes: processor time in seconds and memory in bytes.
 type usage struct{ cpu, memory, maxMemory float64 }
 
-// add adds what a process has used.
+// add adds the resource usage of a process.
 func (u *usage) add(p *process) error {
 	proc, err := procfs.NewProc(p.cmd.Process.Pid)
 	if err != nil {
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file defines the result of a point and writes it as a table.
+// This file defines the result of a point and its table.
 
 import (
 	"bytes"
@@ -10,16 +10,16 @@
 	"text/tabwriter"
 )
 
-// Figure is one result of a point.
+// Figure is one measured or derived value of a point.
 type Figure struct {
 	Role  string  `json:"role"`
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit"`
 	Value float64 `json:"value"`
-	Basis string  `json:"basis"` // measured or derived, or the sample that it was counted on
+	Basis string  `json:"basis"` // how it was obtained: measured, derived, or the sample that it was counted on
 }
 
-// Result is what one point gave.
+// Result holds the figures of one point.
 type Result struct {
 	CacheServers  int      `json:"caches"`
 	Routers       int      `json:"routers"`
@@ -31,12 +31,12 @@
 
 func (r *Result) add(role, name, unit string, value float64, basis string) {
 	if math.IsNaN(value) {
-		value = 0 // a share of nothing
+		value = 0 // a share of 0 events
 	}
 	r.Figures = append(r.Figures, Figure{Role: role, Name: name, Unit: unit, Value: value, Basis: basis})
 }
 
-// Value is a figure of the point; 0 where there is none.
+// Value returns the value of a figure, or 0 if there is no such figure.
 func (r *Result) Value(role, name string) float64 { return r.figure(role, name).Value }
 
 func (r *Result) figure(role, name string) Figure {
@@ -48,7 +48,7 @@
 	return Figure{}
 }
 
-// controlBudget is what the control traffic of one router may cost.
+// controlBudget is the limit of one cost of a router's control traffic.
 type controlBudget struct {
 	figure string
 	max    float64 // in the figure's unit
@@ -60,7 +60,7 @@
 	{figureControlBytes, 24},
 }
 
-// WriteTable writes a point for people.
+// WriteTable writes the result as a table.
 func (r *Result) WriteTable(out io.Writer) error {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "\n%d caches, %d routers, %.0f requests a second; %.1f s\n",
@@ -87,10 +87,10 @@
 	return err
 }
 
-// columnPadding is the number of spaces between columns.
+// columnPadding is the minimum number of spaces between columns.
 const columnPadding = 2
 
-// alignColumns writes rows whose cells end with tabs, in columns.
+// alignColumns writes rows of tab-separated cells in aligned columns.
 func alignColumns(out io.Writer, rows []byte) error {
 	w := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
 	if _, err := w.Write(rows); err != nil {
--- a/internal/scaletest/router_process.go
+++ b/internal/scaletest/router_process.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file builds and starts real routers.
+// This file builds, configures and starts real routers.
 
 import (
 	"context"
@@ -20,19 +20,19 @@
 const (
 	routerPackage      = "marlstage/cmd/cacherouter"
 	routerConfigEnv    = "BALANCER_CONFIG"
-	servingLogMessage  = "msg=serving addr=" // its address follows
+	servingLogMessage  = "msg=serving addr=" // followed by the address
 	routerStartTimeout = 30 * time.Second
 	routerConfigMode   = 0o600
 	pongText           = "PONG"
 )
 
-// Why a router did not start.
+// The reasons why a router did not start.
 var (
-	errRouterEnded      = errors.New("it ended")
-	errRouterNotServing = errors.New("it does not serve")
+	errRouterEnded      = errors.New("the process exited")
+	errRouterNotServing = errors.New("timed out before it served")
 )
 
-// routerConfig is the configuration of a real router.
+// routerConfig is the configuration file of a real router.
 type routerConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -43,15 +43,15 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// routerLimits is the limits of a real router's machine.
+// routerLimits holds the resource limits of a real router.
 type routerLimits struct {
 	Cores       int `json:"cores"`
 	MemoryMB    int `json:"memory_mb"`
 	Descriptors int `json:"sockets"`
 }
 
-// BuildRouter builds the real router from the module around the working directory, and returns the
-// path of the program.
+// BuildRouter builds the real router in dir, from the module that contains the working directory, and
+// returns the path of the program.
 func BuildRouter(ctx context.Context, dir string) (string, error) {
 	program := filepath.Join(dir, "cacherouter")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", program, routerPackage).CombinedOutput()
@@ -61,8 +61,9 @@
 	return program, nil
 }
 
-// startRouter starts a real router, with its configuration in dir, and returns its address once it
-// answers PING. The process is returned also where it does not, and has to be stopped then.
+// startRouter starts a real router with its configuration file in dir, waits until it answers PING and
+// returns its address. If the process was started but did not answer, startRouter returns both the
+// process, which the caller has to stop, and an error.
 func startRouter(
 	ctx context.Context, program, dir string, config routerConfig, onExit func(error),
 ) (p *process, addr string, err error) {
@@ -124,7 +125,7 @@
 		return err
 	}
 	if string(reply.Data) != pongText {
-		return fmt.Errorf("PING was answered %q", reply.Data)
+		return fmt.Errorf("unexpected reply to PING: %q", reply.Data)
 	}
 	return nil
 }
--- a/internal/scaletest/runner.go
+++ b/internal/scaletest/runner.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file runs one point from start to result.
+// This file runs one point and returns its result.
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// outageAftermath is the time over which the calls at discovery's return are counted.
+// outageAftermath is the time after an outage of discovery over which calls are counted.
 const outageAftermath = 2 * time.Second
 
-// Run measures one point with the given program as the real router.
+// Run measures one point. The given program is run as the real router.
 func Run(ctx context.Context, p Point, program string) (*Result, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
@@ -20,14 +20,14 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // the result stands also where files are left behind
+	defer func() { _ = os.RemoveAll(dir) }() // files that are left behind do not affect the result
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	t := &testbed{Point: p, onExit: cancel}
 	defer t.stop()
 	result, err := t.run(ctx, dir, program)
 	if ctx.Err() != nil {
-		return nil, context.Cause(ctx) // it says more than what failed because of it
+		return nil, context.Cause(ctx) // more specific than the errors that it causes
 	}
 	return result, err
 }
@@ -57,7 +57,8 @@
 	return result, nil
 }
 
-// measureOutage has discovery answer no calls for a while, and counts those at its return.
+// measureOutage takes discovery down for the time of the outage and adds the rates of the routers' calls
+// during the outage and after it.
 func (t *testbed) measureOutage(ctx context.Context, result *Result) error {
 	var down, up, after []DiscoveryCount
 	if err := t.discovery.do(commandDiscoveryDown, &down); err != nil {
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -1,24 +1,24 @@
 package scaletest
 
-// This file reads the counters of every process at one moment.
+// This file reads the counters of all processes.
 
 import (
 	"errors"
 	"time"
 )
 
-// sample is what everything had done by one moment.
+// sample holds the counters of all processes at one time.
 type sample struct {
 	at           time.Time
 	cacheServers [][]CacheCount // by cache server and group
 	discovery    []DiscoveryCount
 	fleet        FleetCount
-	clients      [groupCount]ClientCount // since the sample before
+	clients      [groupCount]ClientCount // since the previous sample
 	routers      [groupCount]usage
 	standIns     standInUsage
 }
 
-// standInUsage is what the processes of the stand-ins have used.
+// standInUsage is the resource usage of the processes of the stand-ins.
 type standInUsage struct{ cacheServers, discovery, fleet usage }
 
 func (t *testbed) takeSample() (*sample, error) {
--- a/internal/scaletest/settings.go
+++ b/internal/scaletest/settings.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The classes of requests, and how long their clients wait at most.
+// The classes of requests and their timeouts.
 const (
 	readClass    = "page-view"
 	readTimeout  = 2 * time.Second
@@ -15,28 +15,28 @@
 	writeTimeout = 4 * time.Second
 )
 
-// tenant is the only one of the fleet.
+// tenant is the tenant of all requests.
 const tenant = "all"
 
-// keepalive is how long a cache server keeps an idle connection open.
+// keepalive is the time for which a cache server keeps an idle connection open.
 const keepalive = time.Minute
 
-// What Settings stands for where it leaves a time out.
+// The defaults of Settings.
 const (
 	defaultDrainGrace  = 1500 * time.Millisecond
 	defaultDialTimeout = 250 * time.Millisecond
 )
 
-// Settings is the settings of the fleet that its routers are given.
+// Settings holds the settings that the routers of the fleet are given.
 type Settings struct {
 	Routers       int
-	WatchRequired bool // the endpoint list goes only to routers that ask for it
+	WatchRequired bool // routers get the endpoint list only by starting a watch
 	HealthChecks  bool
-	DrainGrace    time.Duration // 0 for 1.5 s
-	DialTimeout   time.Duration // for a new connection; 0 for 250 ms
+	DrainGrace    time.Duration // time after which a draining cache server must get no request; 0 for 1.5 s
+	DialTimeout   time.Duration // timeout of a new connection; 0 for 250 ms
 }
 
-// The settings on the wire; times are in microseconds. The keys are those that discovery uses.
+// The settings as JSON. Times are in microseconds. The keys are those of the router's configuration file.
 type (
 	wireSettings struct {
 		Routers   int           `json:"instances"`
@@ -92,11 +92,11 @@
 	}
 )
 
-// JSON is the settings on the wire.
+// JSON returns the settings as JSON.
 func (s Settings) JSON() json.RawMessage {
 	raw, err := json.Marshal(s.wire())
 	if err != nil {
-		panic(err) // cannot be: every field can be encoded
+		panic(err) // cannot happen: every field can be encoded
 	}
 	return raw
 }
--- a/internal/scaletest/simulated_conn.go
+++ b/internal/scaletest/simulated_conn.go
@@ -9,23 +9,24 @@
 	"marlstage/policy"
 )
 
-// pingTime is how long a simulated cache server takes for a health check.
+// pingTime is the time that a simulated cache server takes to answer a health check.
 const pingTime = 100 * time.Microsecond
 
-// mirrorQueueSize is how many messages may wait for one mirror. Further ones count as failures.
+// mirrorQueueSize is the number of messages that may wait for one mirror. Further ones are dropped and
+// counted as failures.
 const mirrorQueueSize = 64
 
-// simulatedConn is a connection that carries nothing itself. Its mirrors, if any, send on sockets
-// what it would have carried.
+// simulatedConn is a simulated connection of a hollow router to a cache server. It sends nothing itself;
+// its mirrors, if any, send its messages on sockets.
 type simulatedConn struct {
 	pool      *pool
 	idleSince policy.Time
-	attempt   *attempt // the one that awaits its reply
+	attempt   *attempt // waiting for its reply; nil if there is none
 	closed    bool
-	mirrors   []chan mirroredMessage
+	mirrors   []chan mirroredMessage // one for each mirror
 }
 
-// startMirrors opens a socket for the router itself and for each one that it represents.
+// startMirrors starts a mirror for the router itself and for each router that it represents.
 func (c *simulatedConn) startMirrors() {
 	f := c.pool.router.fleet
 	for _, delay := range c.pool.router.mirrorDelays {
@@ -36,7 +37,7 @@
 	}
 }
 
-// carry sends an attempt, which is answered after the time that a cache server works on it.
+// carry sends an attempt and schedules its reply after the simulated service time.
 func (c *simulatedConn) carry(a *attempt) {
 	p, h := c.pool, c.pool.router
 	c.attempt, a.conn = a, c
--- a/internal/scaletest/slopes.go
+++ b/internal/scaletest/slopes.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file fits the growth of figures with the size of the fleet.
+// This file fits lines to the growth of figures with the size of the fleet.
 
 import (
 	"bytes"
@@ -11,12 +11,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Slope is how a figure grows with the size of the fleet, by least squares.
+// Slope is a line that is fitted by least squares to a figure as a function of a size of the fleet.
 type Slope struct {
 	Role          string  `json:"role"`
 	Name          string  `json:"name"`
 	Unit          string  `json:"unit"`
-	Over          string  `json:"over"` // what it grows with
+	Over          string  `json:"over"` // the size that the figure grows with
 	Slope         float64 `json:"slope"`
 	StandardError float64 `json:"standard_error"` // of the slope
 	Intercept     float64 `json:"intercept"`
@@ -24,7 +24,7 @@
 	Points        int     `json:"points"`
 }
 
-// fleetSize is a size of the fleet with which figures grow.
+// fleetSize is a size of the fleet that figures grow with.
 type fleetSize struct {
 	name string
 	of   func(*Result) float64
@@ -39,7 +39,7 @@
 func cacheServerCount(r *Result) float64 { return float64(r.CacheServers) }
 func routerCount(r *Result) float64      { return float64(r.Routers) }
 
-// slopeFigures are the figures of control, with what they grow with.
+// slopeFigures lists the figures of the control traffic and the size that each grows with.
 var slopeFigures = []struct {
 	role, name string
 	size       fleetSize
@@ -61,10 +61,11 @@
 	{roleDiscoveryOfFleet, figureListBytes, byPairs},
 }
 
-// minSlopePoints is how many points a standard error takes.
+// minSlopePoints is the minimum number of points that define a standard error.
 const minSlopePoints = 3
 
-// Slopes fits the figures of control to the sizes of the points. It takes three sizes at least.
+// Slopes fits a line to each figure of the control traffic. It returns none for fewer than three points,
+// and omits figures whose size is the same at all points.
 func Slopes(points []*Result) []Slope {
 	var slopes []Slope
 	if len(points) < minSlopePoints {
@@ -99,7 +100,7 @@
 	}
 	r2 := stat.RSquared(x, y, nil, intercept, slope)
 	if math.IsNaN(r2) {
-		r2 = 0 // all values are the same
+		r2 = 0 // it is undefined if all values are the same
 	}
 	n := float64(len(x))
 	return Slope{
@@ -111,7 +112,7 @@
 	}
 }
 
-// WriteSlopes writes slopes for people.
+// WriteSlopes writes the slopes as a table.
 func WriteSlopes(out io.Writer, slopes []Slope) error {
 	var text, rows bytes.Buffer
 	fmt.Fprintln(&text, "\nslopes by least squares, with their standard errors")
--- a/internal/scaletest/slopes_test.go
+++ b/internal/scaletest/slopes_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestSlopes checks the slope, intercept and standard error of a figure against values computed by hand, and
+// that no slope is fitted to a constant size or to two points.
 func TestSlopes(t *testing.T) {
 	var points []*Result
 	for i, value := range []float64{3, 5, 7, 13} {
@@ -14,14 +16,14 @@
 	}
 	for _, s := range Slopes(points) {
 		if s.Over == "router" {
-			t.Errorf("a slope over routers, whose number is always the same: %+v", s)
+			t.Errorf("slope over the number of routers, which is constant: %+v", s)
 		}
 		if s.Role != "router loaded" || s.Name != "probes" {
 			continue
 		}
-		// By hand: 16/5, from -1; the squares of the residuals sum up to 4.8.
+		// Computed by hand: the slope is 16/5, the intercept -1, the sum of squared residuals 4.8.
 		if math.Abs(s.Slope-3.2) > 1e-9 || math.Abs(s.Intercept+1) > 1e-9 || math.Abs(s.StandardError-math.Sqrt(4.8/2/5)) > 1e-9 || s.Unit != "1/s" {
-			t.Errorf("%+v", s)
+			t.Errorf("got slope %+v", s)
 		}
 	}
 	if s := Slopes(points[:2]); len(s) != 0 {
--- a/internal/scaletest/testbed.go
+++ b/internal/scaletest/testbed.go
@@ -8,19 +8,19 @@
 	"fmt"
 )
 
-// testbed is what one run has started.
+// testbed holds the processes and clients of one run.
 type testbed struct {
 	Point
-	onExit       context.CancelCauseFunc // called if a process ends by itself
-	processes    []*process              // all that were started
+	onExit       context.CancelCauseFunc // called if a process exits without being stopped
+	processes    []*process              // all processes of the run
 	cacheServers []*process
 	discovery    *process
 	fleets       []*process
-	routers      [groupCount]*process // the real ones
+	routers      [groupCount]*process // the real routers
 	clients      [groupCount]*Clients
 }
 
-// stop ends every process.
+// stop stops every process.
 func (t *testbed) stop() {
 	for _, p := range t.processes {
 		p.stop()
@@ -44,7 +44,7 @@
 	return t.startFleets(discovery)
 }
 
-// startWorker starts a worker process and reads its reply when it is ready.
+// startWorker starts a worker process and decodes its first reply into ready.
 func (t *testbed) startWorker(name string, r role, ready any) (*process, error) {
 	p, err := startWorker(name, r, ready, t.onExit)
 	if p != nil {
@@ -53,7 +53,7 @@
 	return p, err
 }
 
-// startCacheServers returns the addresses of the cache servers, by cache server and group.
+// startCacheServers starts the cache servers and returns their addresses by cache server and group.
 func (t *testbed) startCacheServers() ([][]string, error) {
 	var addrs [][]string
 	for first := 0; first < t.CacheServers; first += cacheServersPerProcess {
@@ -81,7 +81,7 @@
 	return ready, err
 }
 
-// settings is the settings of the routers of one group.
+// settings returns the settings of the routers of one group.
 func (t *testbed) settings(group routerGroup) json.RawMessage {
 	return Settings{
 		Routers:       t.Routers,
@@ -90,7 +90,7 @@
 	}.JSON()
 }
 
-// startRealRouter starts the real router of a group, with clients unless it is the idle one.
+// startRealRouter starts the real router of a group and, unless it is the idle one, its clients.
 func (t *testbed) startRealRouter(
 	ctx context.Context, dir, program string, group routerGroup, discovery discoveryReady,
 ) error {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// fleetSpec is the share of the hollow routers that the i-th process runs.
+// fleetSpec returns the configuration of the i-th process of hollow routers.
 func (t *testbed) fleetSpec(i int, discovery discoveryReady) *FleetSpec {
 	n := t.fleetProcesses()
 	spec := &FleetSpec{
--- a/internal/scaletest/worker.go
+++ b/internal/scaletest/worker.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// RoleEnv is the environment variable that makes a process of this program a worker.
+// RoleEnv is the environment variable that, if it is set, makes a process of this program a worker.
 const RoleEnv = "SCALETEST_ROLE"
 
-// role says what a worker runs: one of these.
+// role configures a worker. Exactly one field is set.
 type role struct {
 	CacheServers *CacheServersSpec
 	Discovery    *discoverySpec
 	Fleet        *FleetSpec
 }
 
-// discoverySpec says what the discovery agent of a run is.
+// discoverySpec configures the discovery agent of a run.
 type discoverySpec struct {
-	Addrs           [][]string // of the cache servers, by cache server and group
-	Groups          int
-	RestartInterval time.Duration // 0 for never
+	Addrs           [][]string    // of the cache servers, by cache server and group
+	Groups          int           // number of groups of routers
+	RestartInterval time.Duration // time in which one cache server is listed as restarted; 0 for never
 }
 
-// discoveryReady is the reply of a discovery agent at its start, by group.
+// discoveryReady is the first reply of a discovery agent, by group of routers.
 type discoveryReady struct {
 	Addrs     []string
 	Endpoints []json.RawMessage // the endpoint list
 }
 
-// workerCommand is a command to a worker. The reply is what the worker has counted.
+// workerCommand is a command to a worker. The worker replies with its counters.
 type workerCommand string
 
 const (
@@ -42,16 +42,16 @@
 	commandDiscoveryUp   workerCommand = "up"
 )
 
-// worker runs one role.
+// worker runs one of the stand-ins.
 type worker interface {
-	// ready is the reply to the role, once the worker is ready.
+	// ready returns the first reply, which says that the worker is ready.
 	ready() any
-	// handle returns the reply to a command.
+	// handle executes a command and returns the reply.
 	handle(command workerCommand) any
 }
 
-// Serve runs a worker: it reads a role and then commands from in, and replies to each on out, until
-// in ends.
+// Serve runs a worker. It reads a role and then commands from in, and replies to each on out, until in
+// is closed.
 func Serve(in io.Reader, out io.Writer) error {
 	decoder, encoder := json.NewDecoder(in), json.NewEncoder(out)
 	var r role
@@ -130,8 +130,8 @@
 
 type fleetWorker struct{ fleet *Fleet }
 
-// fleetGCPercent has the garbage collector run seldom: there is enough memory, but not enough
-// processor time.
+// fleetGCPercent makes the garbage collector run less often than by default (100), because processor
+// time is scarcer than memory here.
 const fleetGCPercent = 400
 
 func startFleetWorker(spec FleetSpec) (worker, error) {
--- a/internal/scaletest/workload.go
+++ b/internal/scaletest/workload.go
@@ -1,30 +1,30 @@
 package scaletest
 
-// This file generates requests.
+// This file generates the requests of clients.
 
 import (
 	"math/rand/v2"
 	"time"
 )
 
-// writeRatio is the share of requests that write.
+// writeRatio is the fraction of requests that are writes.
 const writeRatio = .07
 
-// A client waits for one attempt of its request a part of the class's timeout between these two.
+// The timeout of a client is a random fraction of the timeout of the class, between these bounds.
 const (
 	minTimeoutShare = .3
 	maxTimeoutShare = .55
 )
 
-// The popularity of keys: a Zipf distribution over two million keys, of which the most popular one
-// gets 0.1% of the requests.
+// The popularity of keys follows a Zipf distribution over two million keys. The most popular key gets
+// 0.1% of the requests.
 const (
 	zipfExponent = 1.1
 	zipfOffset   = 100
 	maxZipfKey   = 1 << 21
 )
 
-// keyMultiplier and keyShift spread the keys as a hash of their names would.
+// keyMultiplier and keyShift spread the keys over the hash space (multiplicative hashing).
 const (
 	keyMultiplier = 0x9e3779b97f4a7c15
 	keyShift      = 11
@@ -32,17 +32,17 @@
 
 const microsecondsPerMillisecond = 1000
 
-// workload makes up requests.
+// workload generates random requests.
 type workload struct {
 	rng  *rand.Rand
 	keys *rand.Zipf
 }
 
-// workloadRequest is a request that a client makes.
+// workloadRequest is a generated request.
 type workloadRequest struct {
 	key     uint64
 	write   bool
-	timeout time.Duration // of the client
+	timeout time.Duration // timeout of the client
 }
 
 func newWorkload(seed uint64) *workload {
@@ -50,12 +50,13 @@
 	return &workload{rng: rng, keys: rand.NewZipf(rng, zipfExponent, zipfOffset, maxZipfKey)}
 }
 
-// interval is the time to the next request, at so many a second on average.
+// interval draws the time to the next request of a Poisson process with the given rate per second.
 func (w *workload) interval(rate float64) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// next makes up the next request. The order of the draws is what a seed stands for.
+// next generates the next request. The order of the draws must not change, so that a seed keeps
+// generating the same requests.
 func (w *workload) next() workloadRequest {
 	write := w.rng.Float64() < writeRatio
 	key := (w.keys.Uint64() + 1) * keyMultiplier >> keyShift
