--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -26,7 +26,7 @@
 
 func main() {
 	if os.Getenv(scaletest.RoleEnv) != "" {
-		exit(scaletest.Serve(os.Stdin, os.Stdout))
+		exit(scaletest.RunWorker(os.Stdin, os.Stdout))
 	}
 	exit(run(os.Args[1:], os.Stdout))
 }
@@ -86,7 +86,7 @@
 			return err
 		}
 	}
-	return writeSlopes(scaletest.Slopes(all), encoder, tables)
+	return writeSlopes(scaletest.FitSlopes(all), encoder, tables)
 }
 
 func writeSlopes(slopes []scaletest.Slope, encoder *json.Encoder, tables io.Writer) error {
--- a/internal/scaletest/cache_count.go
+++ b/internal/scaletest/cache_count.go
@@ -2,9 +2,9 @@
 
 // This file defines the counters of a cache server's traffic.
 
-// CacheCount holds the traffic between one cache server and the routers of one group. Bytes are those of
+// CacheStats holds the traffic between one cache server and the routers of one group. Bytes are those of
 // commands and replies, without TCP and IP headers.
-type CacheCount struct {
+type CacheStats struct {
 	HealthChecks     int64
 	Attempts         int64
 	Handshakes       int64
@@ -14,7 +14,7 @@
 	OpenConns        int64 // currently open
 }
 
-func (c *CacheCount) add(other CacheCount) {
+func (c *CacheStats) add(other CacheStats) {
 	c.HealthChecks += other.HealthChecks
 	c.Attempts += other.Attempts
 	c.Handshakes += other.Handshakes
@@ -25,8 +25,8 @@
 }
 
 // since returns the difference from an earlier count; OpenConns keeps its current value.
-func (c CacheCount) since(earlier CacheCount) CacheCount {
-	return CacheCount{
+func (c CacheStats) since(earlier CacheStats) CacheStats {
+	return CacheStats{
 		HealthChecks:     c.HealthChecks - earlier.HealthChecks,
 		Attempts:         c.Attempts - earlier.Attempts,
 		Handshakes:       c.Handshakes - earlier.Handshakes,
--- a/internal/scaletest/cache_server.go
+++ b/internal/scaletest/cache_server.go
@@ -62,10 +62,10 @@
 type cachePort struct {
 	mu       sync.Mutex
 	listener net.Listener
-	count    CacheCount
+	count    CacheStats
 }
 
-func (p *cachePort) updateCount(update func(*CacheCount)) {
+func (p *cachePort) updateCount(update func(*CacheStats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	update(&p.count)
@@ -116,11 +116,11 @@
 		}
 		if server.openConns.Add(1) > c.spec.MaxConns {
 			server.openConns.Add(-1)
-			port.updateCount(func(count *CacheCount) { count.RejectedConns++ })
+			port.updateCount(func(count *CacheStats) { count.RejectedConns++ })
 			nc.Close()
 			continue
 		}
-		port.updateCount(func(count *CacheCount) {
+		port.updateCount(func(count *CacheStats) {
 			count.Handshakes++
 			count.OpenConns++
 		})
@@ -128,7 +128,7 @@
 			c.serve(nc, port)
 			nc.Close()
 			server.openConns.Add(-1)
-			port.updateCount(func(count *CacheCount) { count.OpenConns-- })
+			port.updateCount(func(count *CacheStats) { count.OpenConns-- })
 		})
 	}
 }
@@ -182,7 +182,7 @@
 }
 
 func (p *cachePort) countCommand(bytes int, healthCheck bool) {
-	p.updateCount(func(count *CacheCount) {
+	p.updateCount(func(count *CacheStats) {
 		if healthCheck {
 			count.HealthChecks++
 			count.HealthCheckBytes += int64(bytes)
@@ -193,12 +193,12 @@
 	})
 }
 
-// Count returns the traffic of each cache server so far, by cache server and group.
-func (c *CacheServers) Count() [][]CacheCount {
-	counts := make([][]CacheCount, len(c.servers))
+// Stats returns the traffic of each cache server so far, by cache server and group.
+func (c *CacheServers) Stats() [][]CacheStats {
+	counts := make([][]CacheStats, len(c.servers))
 	for i, server := range c.servers {
 		for _, port := range server.ports {
-			port.updateCount(func(count *CacheCount) { counts[i] = append(counts[i], *count) })
+			port.updateCount(func(count *CacheStats) { counts[i] = append(counts[i], *count) })
 		}
 	}
 	return counts
--- a/internal/scaletest/clients.go
+++ b/internal/scaletest/clients.go
@@ -31,13 +31,13 @@
 	rate float64 // requests per second
 
 	mu        sync.Mutex // guards what follows
-	count     ClientCount
+	count     ClientStats
 	idle      []net.Conn
 	openConns int
 }
 
-// ClientCount holds the outcomes of the requests that were due.
-type ClientCount struct {
+// ClientStats holds the outcomes of the requests that were due.
+type ClientStats struct {
 	Due, Served, Rejected, Failed int64
 	Latency                       *hdrhistogram.Histogram // of the served requests, from their due time, in microseconds
 }
@@ -45,7 +45,7 @@
 // NewClients returns the clients of the router at addr. Run sends their requests.
 func NewClients(addr string, rate float64) *Clients {
 	c := &Clients{addr: addr, rate: rate}
-	c.TakeCount()
+	c.TakeStats()
 	return c
 }
 
@@ -145,12 +145,12 @@
 	nc.Close()
 }
 
-// TakeCount returns the outcomes of the requests since the previous call and resets them.
-func (c *Clients) TakeCount() ClientCount {
+// TakeStats returns the outcomes of the requests since the previous call and resets them.
+func (c *Clients) TakeStats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	taken := c.count
-	c.count = ClientCount{Latency: newHistogram(maxLatency)}
+	c.count = ClientStats{Latency: newHistogram(maxLatency)}
 	return taken
 }
 
--- a/internal/scaletest/discovery_agent.go
+++ b/internal/scaletest/discovery_agent.go
@@ -46,9 +46,9 @@
 	calls, endpoints, bytesIn, bytesOut atomic.Int64
 }
 
-// DiscoveryCount holds the discovery traffic of one group of routers. Bytes are those of HTTP with its
+// DiscoveryStats holds the discovery traffic of one group of routers. Bytes are those of HTTP with its
 // headers, without TCP and IP headers.
-type DiscoveryCount struct{ Calls, Endpoints, BytesIn, BytesOut int64 }
+type DiscoveryStats struct{ Calls, Endpoints, BytesIn, BytesOut int64 }
 
 // StartDiscoveryAgent serves the endpoint list of the cache servers with the given addresses, by cache
 // server and group. The list changes only when a method of the agent changes it.
@@ -102,21 +102,21 @@
 	a.changed = make(chan struct{})
 }
 
-// KeepRenewingWeights changes the live weights at random intervals until Close.
-func (a *DiscoveryAgent) KeepRenewingWeights() {
+// SimulateWeightChanges changes the live weights at random intervals until Close.
+func (a *DiscoveryAgent) SimulateWeightChanges() {
 	for {
 		select {
 		case <-time.After(minRenewInterval + rand.N(maxRenewInterval-minRenewInterval)):
-			a.RenewWeights()
+			a.ChangeWeights()
 		case <-a.stop:
 			return
 		}
 	}
 }
 
-// KeepRestarting lists one cache server after the other as terminating, terminated and in service
+// SimulateRestarts lists one cache server after the other as terminating, terminated and in service
 // again, each within one interval, until Close. The simulated cache server itself keeps running.
-func (a *DiscoveryAgent) KeepRestarting(interval time.Duration) {
+func (a *DiscoveryAgent) SimulateRestarts(interval time.Duration) {
 	statuses := []string{statusTerminating, statusTerminated, statusInService}
 	for position := 0; ; position = (position + 1) % len(a.hosts) {
 		for _, status := range statuses {
@@ -145,11 +145,11 @@
 	return a.snapshots[group].body
 }
 
-// Count returns the discovery traffic of each group of routers so far.
-func (a *DiscoveryAgent) Count() []DiscoveryCount {
-	var counts []DiscoveryCount
+// Stats returns the discovery traffic of each group of routers so far.
+func (a *DiscoveryAgent) Stats() []DiscoveryStats {
+	var counts []DiscoveryStats
 	for _, port := range a.ports {
-		counts = append(counts, DiscoveryCount{
+		counts = append(counts, DiscoveryStats{
 			Calls:     port.calls.Load(),
 			Endpoints: port.endpoints.Load(),
 			BytesIn:   port.bytesIn.Load(),
--- a/internal/scaletest/discovery_agent_test.go
+++ b/internal/scaletest/discovery_agent_test.go
@@ -73,7 +73,7 @@
 	expectList(t, agent, 0, "?after=1&wait_ms=1", expectedList{version: 1})
 	watched := make(chan *receivedList, 1)
 	go func() { watched <- callDiscovery(t, agent, 0, "?after=1&wait_ms=60000") }()
-	agent.RenewWeights() // the reply is the same whether the call arrives before or after this
+	agent.ChangeWeights() // the reply is the same whether the call arrives before or after this
 	if list := <-watched; list.Snapshot || list.Version != 2 || len(list.Endpoints) != 3 {
 		t.Errorf("the watch got %+v", list)
 	}
@@ -88,10 +88,10 @@
 			t.Errorf("%q got a list", query)
 		}
 	}
-	checkDiscoveryCounts(t, agent.Count())
+	checkDiscoveryCounts(t, agent.Stats())
 }
 
-func checkDiscoveryCounts(t *testing.T, counts []DiscoveryCount) {
+func checkDiscoveryCounts(t *testing.T, counts []DiscoveryStats) {
 	t.Helper()
 	first, second := counts[0], counts[1]
 	if first.Calls != 5 || first.Endpoints != 3+0+3+1+2 || second.Calls != 5 || second.Endpoints != 3 || first.BytesOut <= second.BytesOut {
--- a/internal/scaletest/discovery_hosts.go
+++ b/internal/scaletest/discovery_hosts.go
@@ -80,8 +80,8 @@
 // maxWeightReduction is the largest fraction by which a live weight is below the nominal one.
 const maxWeightReduction = .25
 
-// RenewWeights gives every cache server in service a new random live weight.
-func (a *DiscoveryAgent) RenewWeights() {
+// ChangeWeights gives every cache server in service a new random live weight.
+func (a *DiscoveryAgent) ChangeWeights() {
 	a.publish(func(_ int, h *host) {
 		if h.status == statusInService {
 			h.weight = h.nominalWeight * (1 - rand.Float64()*maxWeightReduction)
--- a/internal/scaletest/figures.go
+++ b/internal/scaletest/figures.go
@@ -48,7 +48,7 @@
 func percent(part, whole int64) float64 { return 100 * float64(part) / float64(whole) }
 
 // addCacheCount adds the figures of a count, divided by among.
-func (r *reporter) addCacheCount(role string, c CacheCount, among float64, basis string) {
+func (r *reporter) addCacheCount(role string, c CacheStats, among float64, basis string) {
 	r.add(role, figureHealthChecks, unitPerSecond, r.rate(c.HealthChecks, among), basis)
 	r.add(role, figureHealthCheckBytes, unitKilobytesPerSecond, r.kilobyteRate(c.HealthCheckBytes, among), basis)
 	r.add(role, figureAttempts, unitPerSecond, r.rate(c.Attempts, among), basis)
@@ -74,7 +74,7 @@
 	r.add(role, figureMemory, unitMegabytes, after.memory/bytesPerMegabyte, basisMeasured)
 	r.add(role, figureMaxMemory, unitMegabytes, after.maxMemory/bytesPerMegabyte, basisMeasured)
 	r.addDiscoveryCount(role, group, 1, basisMeasured)
-	var total CacheCount
+	var total CacheStats
 	for position := range r.after.cacheServers {
 		total.add(r.cacheCount(position, group))
 	}
@@ -83,11 +83,11 @@
 }
 
 // cacheCount returns the traffic of one cache server with a group of routers between the samples.
-func (r *reporter) cacheCount(position int, group routerGroup) CacheCount {
+func (r *reporter) cacheCount(position int, group routerGroup) CacheStats {
 	return r.after.cacheServers[position][group].since(r.before.cacheServers[position][group])
 }
 
-func (r *reporter) addClients(role string, c ClientCount) {
+func (r *reporter) addClients(role string, c ClientStats) {
 	if c.Latency == nil {
 		return
 	}
@@ -141,7 +141,7 @@
 
 // simulatedCounts returns the traffic of the active hollow routers with all cache servers, and the
 // maximum of each counter over the cache servers.
-func (r *reporter) simulatedCounts() (total, busiest CacheCount) {
+func (r *reporter) simulatedCounts() (total, busiest CacheStats) {
 	for i := range r.after.fleet.CacheServers {
 		c := r.after.fleet.CacheServers[i].since(r.before.fleet.CacheServers[i])
 		total.add(c)
@@ -153,7 +153,7 @@
 }
 
 // addSimulatedCount adds the figures of a count of simulated traffic, which has no bytes, divided by among.
-func (r *reporter) addSimulatedCount(role string, c CacheCount, among float64, basis string) {
+func (r *reporter) addSimulatedCount(role string, c CacheStats, among float64, basis string) {
 	r.add(role, figureHealthChecks, unitPerSecond, r.rate(c.HealthChecks, among), basis)
 	r.add(role, figureAttempts, unitPerSecond, r.rate(c.Attempts, among), basis)
 	r.add(role, figureHandshakes, unitPerSecond, r.rate(c.Handshakes, among), basis)
@@ -163,7 +163,7 @@
 // addConnectedServers adds the figures of the traffic on the sockets of the hollow routers.
 func (r *reporter) addConnectedServers() {
 	connected := r.point.connectedServers()
-	var total CacheCount
+	var total CacheStats
 	for k := range connected {
 		total.add(r.cacheCount(r.point.connectedPosition(k), groupHollow))
 	}
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -43,20 +43,20 @@
 	OnEndpoints func(version int64) `json:"-"`
 }
 
-// FleetCount holds the counters of the hollow routers of one process.
-type FleetCount struct {
+// FleetStats holds the counters of the hollow routers of one process.
+type FleetStats struct {
 	Requests, Served, Timers int64        // of all hollow routers; only active ones have requests
-	CacheServers             []CacheCount // simulated traffic by position on the list; without bytes
-	Mirrored                 CacheCount   // traffic on sockets, including the represented routers'
+	CacheServers             []CacheStats // simulated traffic by position on the list; without bytes
+	Mirrored                 CacheStats   // traffic on sockets, including the represented routers'
 	MirrorFailures           int64        // messages on these sockets that failed
 	Endpoints                int64        // endpoints received from discovery by all hollow routers
 	DiscoveryBytes           int64        // bytes received from discovery by all hollow routers
-	LatenessP99              int64        // 99th percentile of the requests' delays since the last call of Count, in microseconds
+	LatenessP99              int64        // 99th percentile of the requests' delays since the last call of Stats, in microseconds
 }
 
-func (c *FleetCount) add(other FleetCount) {
+func (c *FleetStats) add(other FleetStats) {
 	if c.CacheServers == nil {
-		c.CacheServers = make([]CacheCount, len(other.CacheServers))
+		c.CacheServers = make([]CacheStats, len(other.CacheServers))
 	}
 	for i, count := range other.CacheServers {
 		c.CacheServers[i].add(count)
@@ -94,7 +94,7 @@
 	endpoints, bytesIn, bytesOut atomic.Int64
 
 	mu             sync.Mutex // guards the fields below
-	mirrored       CacheCount
+	mirrored       CacheStats
 	mirrorFailures int64
 	lateness       *hdrhistogram.Histogram // delays of requests, in microseconds
 }
@@ -143,10 +143,10 @@
 // Close stops the hollow routers.
 func (f *Fleet) Close() { f.cancel() }
 
-// Count returns the counters so far. It resets the histogram behind LatenessP99.
-func (f *Fleet) Count() FleetCount {
-	count := FleetCount{
-		CacheServers:   make([]CacheCount, len(f.initial.Endpoints)),
+// Stats returns the counters so far. It resets the histogram behind LatenessP99.
+func (f *Fleet) Stats() FleetStats {
+	count := FleetStats{
+		CacheServers:   make([]CacheStats, len(f.initial.Endpoints)),
 		Endpoints:      f.endpoints.Load(),
 		DiscoveryBytes: f.bytesIn.Load(),
 	}
--- a/internal/scaletest/fleet_test.go
+++ b/internal/scaletest/fleet_test.go
@@ -60,7 +60,7 @@
 func (f *testFleet) renewWeights(t *testing.T) (bytes int) {
 	t.Helper()
 	for version := int64(2); version < 2+testRenewals; version++ {
-		f.agent.RenewWeights()
+		f.agent.ChangeWeights()
 		bytes += len(f.agent.deltas[0].body) * (testActive + testWatchOnly)
 		for n := 0; n < testActive+testWatchOnly; {
 			select {
@@ -84,11 +84,11 @@
 	select {
 	case <-f.Done:
 	case <-time.After(testTimeout):
-		t.Fatalf("the routers are not done: %+v", f.Count())
+		t.Fatalf("the routers are not done: %+v", f.Stats())
 	}
 	f.Drain()
 	f.servers.Wait()
-	count := f.Count()
+	count := f.Stats()
 	f.checkServers(t, count)
 	if count.Requests < testRequestQuota*testActive || count.Served == 0 || count.Timers < count.Requests {
 		t.Errorf("requests %d, served %d, timers %d", count.Requests, count.Served, count.Timers)
@@ -97,16 +97,16 @@
 }
 
 // checkServers compares the counters of the cache servers with those of the fleet.
-func (f *testFleet) checkServers(t *testing.T, fleet FleetCount) {
+func (f *testFleet) checkServers(t *testing.T, fleet FleetStats) {
 	t.Helper()
-	var arrived CacheCount
-	for position, counts := range f.servers.Count() {
+	var arrived CacheStats
+	for position, counts := range f.servers.Stats() {
 		got, simulated := counts[0], fleet.CacheServers[position]
 		if simulated.HealthChecks < testActive || simulated.Attempts == 0 || simulated.Handshakes == 0 || simulated.OpenConns != 0 {
 			t.Errorf("cache server %d: simulated %+v", position, simulated)
 		}
 		if connected := position%2 == 0; !connected {
-			if got != (CacheCount{}) {
+			if got != (CacheStats{}) {
 				t.Errorf("cache server %d must not be connected, but got %+v", position, got)
 			}
 			continue
@@ -120,9 +120,9 @@
 
 // checkConnectedServer checks the traffic of a connected cache server. It returns the expected traffic
 // without bytes, which the fleet does not count.
-func checkConnectedServer(t *testing.T, position int, got, simulated CacheCount) CacheCount {
+func checkConnectedServer(t *testing.T, position int, got, simulated CacheStats) CacheStats {
 	t.Helper()
-	want := CacheCount{
+	want := CacheStats{
 		HealthChecks: simulated.HealthChecks * (1 + testRepresented),
 		Attempts:     simulated.Attempts * (1 + testRepresented),
 		Handshakes:   simulated.Handshakes * (1 + testRepresented),
@@ -137,9 +137,9 @@
 }
 
 // checkDiscovery compares the counters of the discovery agent with those of the fleet.
-func (f *testFleet) checkDiscovery(t *testing.T, fleet FleetCount, minBytes int64) {
+func (f *testFleet) checkDiscovery(t *testing.T, fleet FleetStats, minBytes int64) {
 	t.Helper()
-	sent, endpoints := f.agent.Count()[0], int64(testServers*testRenewals*(testActive+testWatchOnly))
+	sent, endpoints := f.agent.Stats()[0], int64(testServers*testRenewals*(testActive+testWatchOnly))
 	if sent.Endpoints != endpoints || fleet.Endpoints != endpoints || sent.BytesOut < fleet.DiscoveryBytes || fleet.DiscoveryBytes < minBytes {
 		t.Errorf("discovery sent %d endpoints in %d bytes, the fleet got %d in %d; want %d in %d or more",
 			sent.Endpoints, sent.BytesOut, fleet.Endpoints, fleet.DiscoveryBytes, endpoints, minBytes)
--- a/internal/scaletest/hollow_router.go
+++ b/internal/scaletest/hollow_router.go
@@ -172,7 +172,7 @@
 }
 
 // addTo adds the router's counters to those of the fleet.
-func (h *hollowRouter) addTo(count *FleetCount) {
+func (h *hollowRouter) addTo(count *FleetStats) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	count.Requests += h.requestCount
--- a/internal/scaletest/mirror.go
+++ b/internal/scaletest/mirror.go
@@ -23,7 +23,7 @@
 	nc, err := net.DialTimeout("tcp", addr, mirrorDialTimeout)
 	if err == nil {
 		defer nc.Close()
-		f.locked(func() { f.mirrored.add(CacheCount{Handshakes: 1, OpenConns: 1}) })
+		f.locked(func() { f.mirrored.add(CacheStats{Handshakes: 1, OpenConns: 1}) })
 		defer f.locked(func() { f.mirrored.OpenConns-- })
 	}
 	replyBuffer := make([]byte, replySize)
--- a/internal/scaletest/pool.go
+++ b/internal/scaletest/pool.go
@@ -32,7 +32,7 @@
 	maxConns         int
 	idle             []*simulatedConn // in the order of last use
 	waiting          []*attempt       // attempts that wait for a connection
-	count            CacheCount
+	count            CacheStats
 }
 
 func newPool(h *hollowRouter, position int, name, addr string) *pool {
--- a/internal/scaletest/runner.go
+++ b/internal/scaletest/runner.go
@@ -60,7 +60,7 @@
 // measureOutage takes discovery down for the time of the outage and adds the rates of the routers' calls
 // during the outage and after it.
 func (t *testbed) measureOutage(ctx context.Context, result *Result) error {
-	var down, up, after []DiscoveryCount
+	var down, up, after []DiscoveryStats
 	if err := t.discovery.do(commandDiscoveryDown, &down); err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	if err := t.discovery.do(commandCount, &after); err != nil {
 		return err
 	}
-	callsPerRouter := func(from, to []DiscoveryCount, span time.Duration) float64 {
+	callsPerRouter := func(from, to []DiscoveryStats, span time.Duration) float64 {
 		return float64(to[groupHollow].Calls-from[groupHollow].Calls) / float64(t.hollowRouters()) / span.Seconds()
 	}
 	whileDown, atReturn := callsPerRouter(down, up, t.Outage), callsPerRouter(up, after, outageAftermath)
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -10,10 +10,10 @@
 // sample holds the counters of all processes at one time.
 type sample struct {
 	at           time.Time
-	cacheServers [][]CacheCount // by cache server and group
-	discovery    []DiscoveryCount
-	fleet        FleetCount
-	clients      [groupCount]ClientCount // since the previous sample
+	cacheServers [][]CacheStats // by cache server and group
+	discovery    []DiscoveryStats
+	fleet        FleetStats
+	clients      [groupCount]ClientStats // since the previous sample
 	routers      [groupCount]usage
 	standIns     standInUsage
 }
@@ -37,7 +37,7 @@
 	for group := firstRealGroup; group < groupCount; group++ {
 		errs = append(errs, s.routers[group].add(t.routers[group]))
 		if t.clients[group] != nil {
-			s.clients[group] = t.clients[group].TakeCount()
+			s.clients[group] = t.clients[group].TakeStats()
 		}
 	}
 	return errors.Join(errs...)
@@ -46,7 +46,7 @@
 func (t *testbed) sampleCacheServers(s *sample) error {
 	var errs []error
 	for _, p := range t.cacheServers {
-		var counts [][]CacheCount
+		var counts [][]CacheStats
 		errs = append(errs, p.do(commandCount, &counts), s.standIns.cacheServers.add(p))
 		s.cacheServers = append(s.cacheServers, counts...)
 	}
@@ -60,7 +60,7 @@
 func (t *testbed) sampleFleets(s *sample) error {
 	var errs []error
 	for _, p := range t.fleets {
-		var count FleetCount
+		var count FleetStats
 		errs = append(errs, p.do(commandCount, &count), s.standIns.fleet.add(p))
 		s.fleet.add(count)
 	}
--- a/internal/scaletest/slopes.go
+++ b/internal/scaletest/slopes.go
@@ -64,9 +64,9 @@
 // minSlopePoints is the minimum number of points that define a standard error.
 const minSlopePoints = 3
 
-// Slopes fits a line to each figure of the control traffic. It returns none for fewer than three points,
+// FitSlopes fits a line to each figure of the control traffic. It returns none for fewer than three points,
 // and omits figures whose size is the same at all points.
-func Slopes(points []*Result) []Slope {
+func FitSlopes(points []*Result) []Slope {
 	var slopes []Slope
 	if len(points) < minSlopePoints {
 		return slopes
--- a/internal/scaletest/slopes_test.go
+++ b/internal/scaletest/slopes_test.go
@@ -14,7 +14,7 @@
 		r.add("router loaded", "probes", "1/s", value, basisMeasured)
 		points = append(points, r)
 	}
-	for _, s := range Slopes(points) {
+	for _, s := range FitSlopes(points) {
 		if s.Over == "router" {
 			t.Errorf("slope over the number of routers, which is constant: %+v", s)
 		}
@@ -26,7 +26,7 @@
 			t.Errorf("got slope %+v", s)
 		}
 	}
-	if s := Slopes(points[:2]); len(s) != 0 {
+	if s := FitSlopes(points[:2]); len(s) != 0 {
 		t.Errorf("slopes of two points: %+v", s)
 	}
 }
--- a/internal/scaletest/worker.go
+++ b/internal/scaletest/worker.go
@@ -50,9 +50,9 @@
 	handle(command workerCommand) any
 }
 
-// Serve runs a worker. It reads a role and then commands from in, and replies to each on out, until in
+// RunWorker runs a worker. It reads a role and then commands from in, and replies to each on out, until in
 // is closed.
-func Serve(in io.Reader, out io.Writer) error {
+func RunWorker(in io.Reader, out io.Writer) error {
 	decoder, encoder := json.NewDecoder(in), json.NewEncoder(out)
 	var r role
 	if err := decoder.Decode(&r); err != nil {
@@ -94,7 +94,7 @@
 type cacheServersWorker struct{ servers *CacheServers }
 
 func (w cacheServersWorker) ready() any               { return w.servers.Addrs }
-func (w cacheServersWorker) handle(workerCommand) any { return w.servers.Count() }
+func (w cacheServersWorker) handle(workerCommand) any { return w.servers.Stats() }
 
 type discoveryWorker struct {
 	agent  *DiscoveryAgent
@@ -106,9 +106,9 @@
 	if err != nil {
 		return nil, err
 	}
-	go agent.KeepRenewingWeights()
+	go agent.SimulateWeightChanges()
 	if spec.RestartInterval > 0 {
-		go agent.KeepRestarting(spec.RestartInterval)
+		go agent.SimulateRestarts(spec.RestartInterval)
 	}
 	return discoveryWorker{agent: agent, groups: spec.Groups}, nil
 }
@@ -125,7 +125,7 @@
 	if command != commandCount {
 		w.agent.SetDown(command == commandDiscoveryDown)
 	}
-	return w.agent.Count()
+	return w.agent.Stats()
 }
 
 type fleetWorker struct{ fleet *Fleet }
@@ -141,4 +141,4 @@
 }
 
 func (w fleetWorker) ready() any               { return len(w.fleet.routers) }
-func (w fleetWorker) handle(workerCommand) any { return w.fleet.Count() }
+func (w fleetWorker) handle(workerCommand) any { return w.fleet.Stats() }
