--- a/policy/cache.go
+++ b/policy/cache.go
@@ -33,8 +33,8 @@
 	timeTokens       float64 // time earned under a limit below one, as of timeTokensAt
 	timeTokensAt     Time
 	attemptsSent     int // in all, for as long as the cache has been known
-	recentAttempts   stats.FadingCount
-	recentRejections stats.FadingCount // those of the recent attempts that were rejected
+	recentAttempts   stats.DecayingCount
+	recentRejections stats.DecayingCount // those of the recent attempts that were rejected
 	lastSentAt       Time
 	lastReplyAt      Time
 	lastHitOnTime    bool           // it served the last likely hit in time
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -29,12 +29,12 @@
 	zones       map[string]*circuitBreaker
 	inService   []*cache // caches in service, ordered by ID
 	groups      cacheGroups
-	sums        weightSums        // cached by the method weightSums
-	warmLoad    stats.FadingCount // recently accepted attempts at warm caches
-	meanWeight  float64           // mean weight of the caches in service
-	started     bool              // an endpoint list has arrived
-	failedPolls int               // consecutive failed polls of the endpoint list
-	polledAt    Time              // start of the last poll, or the last update
+	sums        weightSums          // cached by the method weightSums
+	warmLoad    stats.DecayingCount // recently accepted attempts at warm caches
+	meanWeight  float64             // mean weight of the caches in service
+	started     bool                // an endpoint list has arrived
+	failedPolls int                 // consecutive failed polls of the endpoint list
+	polledAt    Time                // start of the last poll, or the last update
 
 	nextPollFailureLine Time // failed polls are not logged before this
 
