--- a/cmd/cacherouter/main.go
+++ b/cmd/cacherouter/main.go
@@ -53,7 +53,7 @@
 	// must not be lost.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
-	ctx := untilTerminated()
+	ctx := terminationContext()
 	// By default, writing to a log pipe whose reader has exited would end the program.
 	signal.Ignore(syscall.SIGPIPE)
 	cfg, err := readConfig(path)
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// untilTerminated returns a context that is cancelled by the first SIGTERM or
+// terminationContext returns a context that is cancelled by the first SIGTERM or
 // SIGINT. Further ones are ignored until the program exits.
-func untilTerminated() context.Context {
+func terminationContext() context.Context {
 	ctx, terminate := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/cmd/cacherouter/main_test.go
+++ b/cmd/cacherouter/main_test.go
@@ -132,14 +132,14 @@
 // router to the discovery service in it, and the program survives both.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	calls := make(chan struct{}, 100)
-	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	newDiscovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls <- struct{}{}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	defer moved.Close()
+	defer newDiscovery.Close()
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "127.0.0.1:0", "127.0.0.1:1"))
 	addr, log := startServing(t, cmd)
-	for _, discovery := range []string{"nowhere", moved.Listener.Addr().String()} {
+	for _, discovery := range []string{"nowhere", newDiscovery.Listener.Addr().String()} {
 		if err := os.WriteFile(configPath(cmd), fmt.Appendf(nil, configFormat, "127.0.0.1:0", discovery), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -161,14 +161,14 @@
 // again without another signal. This happens when the file is written without an atomic rename.
 func TestSIGHUPBeforeFileIsComplete(t *testing.T) {
 	calls := make(chan struct{}, 100)
-	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	newDiscovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls <- struct{}{}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	defer moved.Close()
+	defer newDiscovery.Close()
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "127.0.0.1:0", "127.0.0.1:1"))
 	_, log := startServing(t, cmd)
-	complete := fmt.Appendf(nil, configFormat, "127.0.0.1:0", moved.Listener.Addr().String())
+	complete := fmt.Appendf(nil, configFormat, "127.0.0.1:0", newDiscovery.Listener.Addr().String())
 	if err := os.WriteFile(configPath(cmd), complete[:len(complete)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/cacherouter/signal_test.go
+++ b/cmd/cacherouter/signal_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// killAtEnd kills the program at the end of the test, or after testTimeout if it hangs.
-func killAtEnd(t *testing.T, cmd *exec.Cmd) {
+// killOnCleanup kills the program at the end of the test, or after testTimeout if it hangs.
+func killOnCleanup(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	kill := func() { _ = cmd.Process.Kill() } // fails only if the program has ended
 	watchdog := time.AfterFunc(testTimeout, kill)
@@ -42,7 +42,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	killAtEnd(t, cmd)
+	killOnCleanup(t, cmd)
 	config, err := os.OpenFile(fifo, os.O_WRONLY, 0) // returns when the program has opened the file for reading
 	if err != nil {
 		t.Fatal(err)
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestSIGTERMUpToTheEnd checks that repeated SIGTERMs until the program has exited do not change its exit
+// TestRepeatedSIGTERMUntilExit checks that repeated SIGTERMs until the program has exited do not change its exit
 // code. A handler that was removed before the exit would let a late signal kill the program.
-func TestSIGTERMUpToTheEnd(t *testing.T) {
+func TestRepeatedSIGTERMUntilExit(t *testing.T) {
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "127.0.0.1:0", "127.0.0.1:1"))
 	startServing(t, cmd)
 	ended := make(chan error, 1)
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestClosedLog checks that the program keeps serving when the reader of its log exits. By default, a write
+// TestLogReaderExits checks that the program keeps serving when the reader of its log exits. By default, a write
 // to the closed pipe would kill it with SIGPIPE.
-func TestClosedLog(t *testing.T) {
+func TestLogReaderExits(t *testing.T) {
 	cmd := newCommand(t, fmt.Sprintf(configFormat, "127.0.0.1:0", "127.0.0.1:1"))
 	logReader, logWriter, err := os.Pipe()
 	if err != nil {
@@ -85,7 +85,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	killAtEnd(t, cmd)
+	killOnCleanup(t, cmd)
 	closeFile(t, logWriter)
 	line, err := bufio.NewReader(logReader).ReadString('\n')
 	_, addr, ok := strings.Cut(strings.TrimSpace(line), servingMessage)
