--- a/internal/scaletest/attempt.go
+++ b/internal/scaletest/attempt.go
@@ -33,9 +33,9 @@
 	return requestCommand(r.write, r.key, uint64(r.id), (a.deadline-now)/microsecondsPerMillisecond)
 }
 
-// giveUp ends the attempt before its reply. If the attempt was sent, its connection is closed:
+// abandon ends the attempt before its reply. If the attempt was sent, its connection is closed:
 // otherwise a late reply would be taken for the reply to the next request.
-func (a *attempt) giveUp(result policy.Result) {
+func (a *attempt) abandon(result policy.Result) {
 	switch {
 	case a.done:
 	case a.conn == nil:
--- a/internal/scaletest/cache_server.go
+++ b/internal/scaletest/cache_server.go
@@ -26,8 +26,8 @@
 	replySize   = 2 * valueSize // upper bound, bytes
 )
 
-// workTime draws a random service time for a request and whether the request is a miss.
-func workTime() (elapsed time.Duration, miss bool) {
+// serviceTime draws a random service time for a request and whether the request is a miss.
+func serviceTime() (elapsed time.Duration, miss bool) {
 	if rand.Float64() < missRatio {
 		return missTime, true
 	}
@@ -48,7 +48,7 @@
 type CacheServersSpec struct {
 	First, Count int           // first position on the endpoint list, and number of cache servers
 	Groups       int           // number of groups of routers
-	MaxConns     int64         // maximum of connections per cache server; further ones are closed at once
+	MaxConns     int64         // maximum number of connections per cache server; further ones are closed at once
 	IdleTimeout  time.Duration // idle time after which a cache server closes a connection
 }
 
@@ -62,13 +62,13 @@
 type cachePort struct {
 	mu       sync.Mutex
 	listener net.Listener
-	count    CacheStats
+	stats    CacheStats
 }
 
-func (p *cachePort) updateCount(update func(*CacheStats)) {
+func (p *cachePort) updateStats(update func(*CacheStats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	update(&p.count)
+	update(&p.stats)
 }
 
 // Cache servers have addresses 127.77.S.N, with serversPerSubnet of them for each value of S.
@@ -116,19 +116,19 @@
 		}
 		if server.openConns.Add(1) > c.spec.MaxConns {
 			server.openConns.Add(-1)
-			port.updateCount(func(count *CacheStats) { count.RejectedConns++ })
+			port.updateStats(func(stats *CacheStats) { stats.RejectedConns++ })
 			nc.Close()
 			continue
 		}
-		port.updateCount(func(count *CacheStats) {
-			count.Handshakes++
-			count.OpenConns++
+		port.updateStats(func(stats *CacheStats) {
+			stats.Handshakes++
+			stats.OpenConns++
 		})
 		c.conns.Go(func() {
 			c.serve(nc, port)
 			nc.Close()
 			server.openConns.Add(-1)
-			port.updateCount(func(count *CacheStats) { count.OpenConns-- })
+			port.updateStats(func(stats *CacheStats) { stats.OpenConns-- })
 		})
 	}
 }
@@ -156,10 +156,10 @@
 )
 
 var (
-	value       = strings.Repeat("v", valueSize)
+	replyValue  = strings.Repeat("v", valueSize)
 	loadReport  = "fail_rate=0,rate=1000,busy=0.40"
-	hitReply    = resp.AppendCommand(nil, value, "hit", loadReport)
-	missReply   = resp.AppendCommand(nil, value, "miss", loadReport)
+	hitReply    = resp.AppendCommand(nil, replyValue, "hit", loadReport)
+	missReply   = resp.AppendCommand(nil, replyValue, "miss", loadReport)
 	pongReply   = []byte(resp.PongReply)
 	syntaxError = []byte("-SYNTAX\r\n")
 )
@@ -170,7 +170,7 @@
 	case name == resp.VerbPing:
 		return pongReply, true
 	case name == resp.VerbGet && len(cmd.Args) == getArguments, name == resp.VerbSet && len(cmd.Args) == setArguments:
-		elapsed, miss := workTime()
+		elapsed, miss := serviceTime()
 		time.Sleep(elapsed)
 		if miss {
 			return missReply, false
@@ -182,26 +182,26 @@
 }
 
 func (p *cachePort) countCommand(bytes int, healthCheck bool) {
-	p.updateCount(func(count *CacheStats) {
+	p.updateStats(func(stats *CacheStats) {
 		if healthCheck {
-			count.HealthChecks++
-			count.HealthCheckBytes += int64(bytes)
+			stats.HealthChecks++
+			stats.HealthCheckBytes += int64(bytes)
 		} else {
-			count.Attempts++
-			count.AttemptBytes += int64(bytes)
+			stats.Attempts++
+			stats.AttemptBytes += int64(bytes)
 		}
 	})
 }
 
 // Stats returns the traffic of each cache server so far, by cache server and group.
 func (c *CacheServers) Stats() [][]CacheStats {
-	counts := make([][]CacheStats, len(c.servers))
+	all := make([][]CacheStats, len(c.servers))
 	for i, server := range c.servers {
 		for _, port := range server.ports {
-			port.updateCount(func(count *CacheStats) { counts[i] = append(counts[i], *count) })
+			port.updateStats(func(stats *CacheStats) { all[i] = append(all[i], *stats) })
 		}
 	}
-	return counts
+	return all
 }
 
 // Wait waits until every connection is closed.
--- a/internal/scaletest/cache_server_test.go
+++ b/internal/scaletest/cache_server_test.go
@@ -33,19 +33,19 @@
 	if n, err := dialCacheServer(t, servers.Addrs[0][0]).Read(make([]byte, 1)); err == nil {
 		t.Errorf("a connection beyond the limit read %d bytes", n)
 	}
-	counts := servers.Stats()
+	stats := servers.Stats()
 	want := CacheStats{HealthChecks: 1, Attempts: 2, Handshakes: 1, RejectedConns: 1, HealthCheckBytes: 21, AttemptBytes: int64(attemptBytes), OpenConns: 1}
-	if counts[0][0] != want {
-		t.Errorf("first group %+v, want %+v", counts[0][0], want)
+	if stats[0][0] != want {
+		t.Errorf("first group %+v, want %+v", stats[0][0], want)
 	}
-	if c := counts[0][1]; c.HealthChecks != 1 || c.Attempts != 1 || c.Handshakes != 1 || counts[1][0] != (CacheStats{}) {
-		t.Errorf("second group %+v, other cache server %+v", c, counts[1][0])
+	if c := stats[0][1]; c.HealthChecks != 1 || c.Attempts != 1 || c.Handshakes != 1 || stats[1][0] != (CacheStats{}) {
+		t.Errorf("second group %+v, other cache server %+v", c, stats[1][0])
 	}
 	first.Close()
 	second.Close()
 	servers.Wait()
-	if counts := servers.Stats()[0]; counts[0].OpenConns+counts[1].OpenConns != 0 {
-		t.Errorf("closed connections are counted as open: %+v", counts)
+	if stats := servers.Stats()[0]; stats[0].OpenConns+stats[1].OpenConns != 0 {
+		t.Errorf("closed connections are counted as open: %+v", stats)
 	}
 }
 
--- a/internal/scaletest/cache_stats.go
+++ b/internal/scaletest/cache_stats.go
@@ -14,25 +14,25 @@
 	OpenConns        int64 // currently open
 }
 
-func (c *CacheStats) add(other CacheStats) {
-	c.HealthChecks += other.HealthChecks
-	c.Attempts += other.Attempts
-	c.Handshakes += other.Handshakes
-	c.RejectedConns += other.RejectedConns
-	c.HealthCheckBytes += other.HealthCheckBytes
-	c.AttemptBytes += other.AttemptBytes
-	c.OpenConns += other.OpenConns
+func (s *CacheStats) add(other CacheStats) {
+	s.HealthChecks += other.HealthChecks
+	s.Attempts += other.Attempts
+	s.Handshakes += other.Handshakes
+	s.RejectedConns += other.RejectedConns
+	s.HealthCheckBytes += other.HealthCheckBytes
+	s.AttemptBytes += other.AttemptBytes
+	s.OpenConns += other.OpenConns
 }
 
-// since returns the difference from an earlier count; OpenConns keeps its current value.
-func (c CacheStats) since(earlier CacheStats) CacheStats {
+// since returns the difference from earlier counters; OpenConns keeps its current value.
+func (s CacheStats) since(earlier CacheStats) CacheStats {
 	return CacheStats{
-		HealthChecks:     c.HealthChecks - earlier.HealthChecks,
-		Attempts:         c.Attempts - earlier.Attempts,
-		Handshakes:       c.Handshakes - earlier.Handshakes,
-		RejectedConns:    c.RejectedConns - earlier.RejectedConns,
-		HealthCheckBytes: c.HealthCheckBytes - earlier.HealthCheckBytes,
-		AttemptBytes:     c.AttemptBytes - earlier.AttemptBytes,
-		OpenConns:        c.OpenConns,
+		HealthChecks:     s.HealthChecks - earlier.HealthChecks,
+		Attempts:         s.Attempts - earlier.Attempts,
+		Handshakes:       s.Handshakes - earlier.Handshakes,
+		RejectedConns:    s.RejectedConns - earlier.RejectedConns,
+		HealthCheckBytes: s.HealthCheckBytes - earlier.HealthCheckBytes,
+		AttemptBytes:     s.AttemptBytes - earlier.AttemptBytes,
+		OpenConns:        s.OpenConns,
 	}
 }
--- a/internal/scaletest/clients.go
+++ b/internal/scaletest/clients.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxClientConns    = 300                    // maximum of client connections to one router
+	maxClientConns    = 300                    // maximum number of client connections to one router
 	clientDialTimeout = time.Second            // for a new connection
 	replyGrace        = 100 * time.Millisecond // extra wait after a client's timeout for a reply in transit
 	maxLatency        = 5 * time.Second        // upper bound of the latency histogram
@@ -30,8 +30,8 @@
 	addr string
 	rate float64 // requests per second
 
-	mu        sync.Mutex // guards what follows
-	count     ClientStats
+	mu        sync.Mutex // guards the fields below
+	stats     ClientStats
 	idle      []net.Conn
 	openConns int
 }
@@ -52,17 +52,17 @@
 // Run sends requests until ctx ends or, unless maxRequests is 0, until it has sent that many. It
 // returns when all of them have an outcome.
 func (c *Clients) Run(ctx context.Context, maxRequests int64) {
-	load := newWorkload(rand.Uint64())
+	workload := newWorkload(rand.Uint64())
 	due := time.Now()
 	var sends sync.WaitGroup
 	defer sends.Wait()
 	for n := int64(0); maxRequests == 0 || n < maxRequests; n++ {
-		due = due.Add(load.interval(c.rate))
+		due = due.Add(workload.nextInterval(c.rate))
 		if sleep(ctx, time.Until(due)) != nil {
 			return
 		}
-		next := load.next()
-		message := requestCommand(next.write, next.key, load.rng.Uint64(), next.timeout.Milliseconds())
+		next := workload.next()
+		message := requestCommand(next.write, next.key, workload.rng.Uint64(), next.timeout.Milliseconds())
 		dueAt := due
 		sends.Go(func() { c.send(message, dueAt, dueAt.Add(next.timeout)) })
 	}
@@ -72,30 +72,30 @@
 func (c *Clients) send(message []byte, due, deadline time.Time) {
 	nc, err := c.acquire()
 	if err != nil {
-		c.countReply(redcon.RESP{}, err, due)
+		c.countOutcome(redcon.RESP{}, err, due)
 		return
 	}
 	nc.SetDeadline(deadline.Add(replyGrace))
 	reply, err := roundTrip(nc, message, make([]byte, replySize))
-	c.countReply(reply, err, due)
+	c.countOutcome(reply, err, due)
 	c.release(nc, err)
 }
 
-func (c *Clients) countReply(reply redcon.RESP, err error, due time.Time) {
+func (c *Clients) countOutcome(reply redcon.RESP, err error, due time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.count.Due++
+	c.stats.Due++
 	switch {
 	case err != nil:
-		c.count.Failed++
+		c.stats.Failed++
 	case reply.Type == redcon.Bulk || reply.Type == redcon.Array:
-		c.count.Served++
+		c.stats.Served++
 		// It cannot fail: the value is within the histogram's range.
-		_ = c.count.Latency.RecordValue(min(maxLatency, time.Since(due)).Microseconds())
+		_ = c.stats.Latency.RecordValue(min(maxLatency, time.Since(due)).Microseconds())
 	case isBusy(reply):
-		c.count.Rejected++
+		c.stats.Rejected++
 	default:
-		c.count.Failed++
+		c.stats.Failed++
 	}
 }
 
@@ -149,8 +149,8 @@
 func (c *Clients) TakeStats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken := c.count
-	c.count = ClientStats{Latency: newHistogram(maxLatency)}
+	taken := c.stats
+	c.stats = ClientStats{Latency: newHistogram(maxLatency)}
 	return taken
 }
 
--- a/internal/scaletest/clients_test.go
+++ b/internal/scaletest/clients_test.go
@@ -55,7 +55,7 @@
 	clients := NewClients(addr, 5000)
 	clients.Run(context.Background(), requests)
 	<-allArrived
-	if count := clients.TakeStats(); count.Due != requests || count.Rejected+count.Failed != requests || count.Served != 0 {
-		t.Errorf("%+v", count)
+	if stats := clients.TakeStats(); stats.Due != requests || stats.Rejected+stats.Failed != requests || stats.Served != 0 {
+		t.Errorf("%+v", stats)
 	}
 }
--- a/internal/scaletest/descriptors.go
+++ b/internal/scaletest/descriptors.go
@@ -4,18 +4,18 @@
 
 import "slices"
 
-// How a router divides its file descriptors: reservedDescriptors are kept for those that are not
+// How a router divides its file descriptors: routerReservedDescriptors are kept for those that are not
 // counted, and serverShareNumerator/serverShareDenominator of the rest may be connections to cache
 // servers.
 const (
-	reservedDescriptors    = 48
-	serverShareNumerator   = 2
-	serverShareDenominator = 5
+	routerReservedDescriptors = 48
+	serverShareNumerator      = 2
+	serverShareDenominator    = 5
 )
 
-// takeDescriptor reserves a descriptor for a connection and reports whether it succeeded. If none is
+// acquireDescriptor reserves a descriptor for a connection and reports whether it succeeded. If none is
 // left, it closes the connection that has been idle for longest; it fails if no connection is idle.
-func (h *hollowRouter) takeDescriptor() bool {
+func (h *hollowRouter) acquireDescriptor() bool {
 	if h.openConns >= h.maxConns && !h.closeLongestIdle() {
 		h.descriptorShortage = true
 		return false
@@ -40,9 +40,9 @@
 	return true
 }
 
-// returnDescriptor releases the descriptor of a closed connection. After a shortage, it schedules a
+// releaseDescriptor releases the descriptor of a closed connection. After a shortage, it schedules a
 // dispatch of every pool.
-func (h *hollowRouter) returnDescriptor() {
+func (h *hollowRouter) releaseDescriptor() {
 	h.openConns--
 	if !h.descriptorShortage {
 		return
--- a/internal/scaletest/discovery_agent.go
+++ b/internal/scaletest/discovery_agent.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// The nominal weights of the cache servers cycle through serverSizes values along the endpoint list:
-// 1, 1+serverSizeStep and so on.
+// The nominal weights of the cache servers cycle through nominalWeightCount values along the endpoint list:
+// 1, 1+nominalWeightStep and so on.
 const (
-	serverSizes    = 3
-	serverSizeStep = .5
+	nominalWeightCount = 3
+	nominalWeightStep  = .5
 )
 
 // The live weights change after random intervals between these bounds.
 const (
-	minRenewInterval = 500 * time.Millisecond
-	maxRenewInterval = 1400 * time.Millisecond
+	minWeightChangeInterval = 500 * time.Millisecond
+	maxWeightChangeInterval = 1400 * time.Millisecond
 )
 
 // DiscoveryAgent is a simulated discovery service with one port for each group of routers.
@@ -60,7 +60,7 @@
 		deltas:    make([]encodedList, groups),
 	}
 	for i, addrsByGroup := range addrs {
-		weight := 1 + float64(i%serverSizes)*serverSizeStep
+		weight := 1 + float64(i%nominalWeightCount)*nominalWeightStep
 		a.hosts = append(a.hosts, host{
 			addrs:         addrsByGroup,
 			status:        statusInService,
@@ -106,7 +106,7 @@
 func (a *DiscoveryAgent) SimulateWeightChanges() {
 	for {
 		select {
-		case <-time.After(minRenewInterval + rand.N(maxRenewInterval-minRenewInterval)):
+		case <-time.After(minWeightChangeInterval + rand.N(maxWeightChangeInterval-minWeightChangeInterval)):
 			a.ChangeWeights()
 		case <-a.stop:
 			return
@@ -147,16 +147,16 @@
 
 // Stats returns the discovery traffic of each group of routers so far.
 func (a *DiscoveryAgent) Stats() []DiscoveryStats {
-	var counts []DiscoveryStats
+	var stats []DiscoveryStats
 	for _, port := range a.ports {
-		counts = append(counts, DiscoveryStats{
+		stats = append(stats, DiscoveryStats{
 			Calls:     port.calls.Load(),
 			Endpoints: port.endpoints.Load(),
 			BytesIn:   port.bytesIn.Load(),
 			BytesOut:  port.bytesOut.Load(),
 		})
 	}
-	return counts
+	return stats
 }
 
 // Close stops the agent.
--- a/internal/scaletest/discovery_agent_test.go
+++ b/internal/scaletest/discovery_agent_test.go
@@ -88,14 +88,14 @@
 			t.Errorf("%q got a list", query)
 		}
 	}
-	checkDiscoveryCounts(t, agent.Stats())
+	checkDiscoveryStats(t, agent.Stats())
 }
 
-func checkDiscoveryCounts(t *testing.T, counts []DiscoveryStats) {
+func checkDiscoveryStats(t *testing.T, stats []DiscoveryStats) {
 	t.Helper()
-	first, second := counts[0], counts[1]
+	first, second := stats[0], stats[1]
 	if first.Calls != 5 || first.Endpoints != 3+0+3+1+2 || second.Calls != 5 || second.Endpoints != 3 || first.BytesOut <= second.BytesOut {
-		t.Errorf("counts %+v", counts)
+		t.Errorf("stats %+v", stats)
 	}
 }
 
--- a/internal/scaletest/discovery_calls.go
+++ b/internal/scaletest/discovery_calls.go
@@ -65,8 +65,8 @@
 }
 
 // waitForList waits until there is a list to send: until discovery is up and, for a watch, the list has
-// changed or the wait has ended. It reports false if gone is closed first, when the caller disconnects.
-func (a *DiscoveryAgent) waitForList(group int, query discoveryQuery, gone <-chan struct{}) (encodedList, bool) {
+// changed or the wait has ended. It reports false if callerGone is closed first.
+func (a *DiscoveryAgent) waitForList(group int, query discoveryQuery, callerGone <-chan struct{}) (encodedList, bool) {
 	timeout := time.After(query.wait)
 	mayWait := query.isWatch
 	a.mu.Lock()
@@ -78,7 +78,7 @@
 		case <-changed:
 		case <-timeout:
 			mayWait = false
-		case <-gone:
+		case <-callerGone:
 			a.mu.Lock()
 			return encodedList{}, false
 		}
--- a/internal/scaletest/figures.go
+++ b/internal/scaletest/figures.go
@@ -9,19 +9,19 @@
 	*Result
 	point         *Point
 	before, after *sample
-	span          float64 // seconds
+	seconds       float64 // seconds
 }
 
 // newResult computes the result of a point from the samples at the start and the end of the window.
 func newResult(p *Point, before, after *sample) *Result {
-	span := after.at.Sub(before.at).Seconds()
+	seconds := after.takenAt.Sub(before.takenAt).Seconds()
 	result := &Result{
 		CacheServers:  p.CacheServers,
 		Routers:       p.Routers,
 		RequestRate:   p.RequestRate * float64(p.Routers),
-		WindowSeconds: span,
+		WindowSeconds: seconds,
 	}
-	r := &reporter{Result: result, point: p, before: before, after: after, span: span}
+	r := &reporter{Result: result, point: p, before: before, after: after, seconds: seconds}
 	for group := firstRealGroup; group < groupCount; group++ {
 		r.addRealRouter(group)
 	}
@@ -34,37 +34,40 @@
 	return result
 }
 
-// rate returns the number of events per second and member, for a number of members given by among.
-func (r *reporter) rate(events int64, among float64) float64 { return float64(events) / among / r.span }
+// rate returns the number of events per second and member, where members is the number of routers or cache
+// servers that the events are divided by.
+func (r *reporter) rate(events int64, members float64) float64 {
+	return float64(events) / members / r.seconds
+}
 
-func (r *reporter) kilobyteRate(bytes int64, among float64) float64 {
-	return r.rate(bytes, among) / bytesPerKilobyte
+func (r *reporter) kilobyteRate(bytes int64, members float64) float64 {
+	return r.rate(bytes, members) / bytesPerKilobyte
 }
 
 func (r *reporter) cpuPercent(after, before usage) float64 {
-	return 100 * (after.cpu - before.cpu) / r.span
+	return 100 * (after.cpu - before.cpu) / r.seconds
 }
 
 func percent(part, whole int64) float64 { return 100 * float64(part) / float64(whole) }
 
-// addCacheCount adds the figures of a count, divided by among.
-func (r *reporter) addCacheCount(role string, c CacheStats, among float64, basis string) {
-	r.add(role, figureHealthChecks, unitPerSecond, r.rate(c.HealthChecks, among), basis)
-	r.add(role, figureHealthCheckBytes, unitKilobytesPerSecond, r.kilobyteRate(c.HealthCheckBytes, among), basis)
-	r.add(role, figureAttempts, unitPerSecond, r.rate(c.Attempts, among), basis)
-	r.add(role, figureAttemptBytes, unitKilobytesPerSecond, r.kilobyteRate(c.AttemptBytes, among), basis)
-	r.add(role, figureHandshakes, unitPerSecond, r.rate(c.Handshakes, among), basis)
-	r.add(role, figureConnections, unitNone, float64(c.OpenConns)/among, basis)
-	r.add(role, figureRejectedConns, unitPerSecond, r.rate(c.RejectedConns, among), basis)
+// addCacheStats adds the figures of a cache server's traffic per member (see rate).
+func (r *reporter) addCacheStats(role string, c CacheStats, members float64, basis string) {
+	r.add(role, figureHealthChecks, unitPerSecond, r.rate(c.HealthChecks, members), basis)
+	r.add(role, figureHealthCheckBytes, unitKilobytesPerSecond, r.kilobyteRate(c.HealthCheckBytes, members), basis)
+	r.add(role, figureAttempts, unitPerSecond, r.rate(c.Attempts, members), basis)
+	r.add(role, figureAttemptBytes, unitKilobytesPerSecond, r.kilobyteRate(c.AttemptBytes, members), basis)
+	r.add(role, figureHandshakes, unitPerSecond, r.rate(c.Handshakes, members), basis)
+	r.add(role, figureConnections, unitNone, float64(c.OpenConns)/members, basis)
+	r.add(role, figureRejectedConns, unitPerSecond, r.rate(c.RejectedConns, members), basis)
 }
 
-// addDiscoveryCount adds the figures of the discovery traffic of a group of routers, divided by among.
-func (r *reporter) addDiscoveryCount(role string, group routerGroup, among float64, basis string) {
+// addDiscoveryStats adds the figures of the discovery traffic of a group of routers per member (see rate).
+func (r *reporter) addDiscoveryStats(role string, group routerGroup, members float64, basis string) {
 	after, before := r.after.discovery[group], r.before.discovery[group]
 	bytes := after.BytesIn - before.BytesIn + after.BytesOut - before.BytesOut
-	r.add(role, figureWatchCalls, unitPerSecond, r.rate(after.Calls-before.Calls, among), basis)
-	r.add(role, figureListLines, unitPerSecond, r.rate(after.Endpoints-before.Endpoints, among), basis)
-	r.add(role, figureListBytes, unitKilobytesPerSecond, r.kilobyteRate(bytes, among), basis)
+	r.add(role, figureWatchCalls, unitPerSecond, r.rate(after.Calls-before.Calls, members), basis)
+	r.add(role, figureListLines, unitPerSecond, r.rate(after.Endpoints-before.Endpoints, members), basis)
+	r.add(role, figureListBytes, unitKilobytesPerSecond, r.kilobyteRate(bytes, members), basis)
 }
 
 func (r *reporter) addRealRouter(group routerGroup) {
@@ -73,21 +76,21 @@
 	r.add(role, figureProcessorTime, unitPercentOfCore, r.cpuPercent(after, before), basisMeasured)
 	r.add(role, figureMemory, unitMegabytes, after.memory/bytesPerMegabyte, basisMeasured)
 	r.add(role, figureMaxMemory, unitMegabytes, after.maxMemory/bytesPerMegabyte, basisMeasured)
-	r.addDiscoveryCount(role, group, 1, basisMeasured)
+	r.addDiscoveryStats(role, group, 1, basisMeasured)
 	var total CacheStats
 	for position := range r.after.cacheServers {
-		total.add(r.cacheCount(position, group))
+		total.add(r.cacheStats(position, group))
 	}
-	r.addCacheCount(role, total, 1, basisMeasured)
-	r.addClients(role, r.after.clients[group])
+	r.addCacheStats(role, total, 1, basisMeasured)
+	r.addClientStats(role, r.after.clients[group])
 }
 
-// cacheCount returns the traffic of one cache server with a group of routers between the samples.
-func (r *reporter) cacheCount(position int, group routerGroup) CacheStats {
+// cacheStats returns the traffic of one cache server with a group of routers between the samples.
+func (r *reporter) cacheStats(position int, group routerGroup) CacheStats {
 	return r.after.cacheServers[position][group].since(r.before.cacheServers[position][group])
 }
 
-func (r *reporter) addClients(role string, c ClientStats) {
+func (r *reporter) addClientStats(role string, c ClientStats) {
 	if c.Latency == nil {
 		return
 	}
@@ -125,23 +128,23 @@
 	derivedBasis := basisDerived + ", " + basis
 	after, before := r.after.fleet, r.before.fleet
 	requests := after.Requests - before.Requests
-	total, busiest := r.simulatedCounts()
+	total, busiest := r.simulatedStats()
 
 	r.add(roleHollow, "requests", unitPerSecond, r.rate(requests, float64(active)), basis)
 	r.add(roleHollow, figureServed, unitPercentOfRequests, percent(after.Served-before.Served, requests), basis)
 	r.add(roleHollow, figureTimers, unitPerSecond, r.rate(after.Timers-before.Timers, float64(active)), basis)
-	r.addSimulatedCount(roleHollow, total, float64(active), basis)
-	r.addSimulatedCount(roleAllServers, total, float64(active)/fleet*float64(r.point.CacheServers), derivedBasis)
+	r.addSimulatedStats(roleHollow, total, float64(active), basis)
+	r.addSimulatedStats(roleAllServers, total, float64(active)/fleet*float64(r.point.CacheServers), derivedBasis)
 
 	scale := fleet / float64(active)
-	r.add(roleBusiestServer, figureHealthChecks, unitPerSecond, float64(busiest.HealthChecks)*scale/r.span, derivedBasis)
-	r.add(roleBusiestServer, figureHandshakes, unitPerSecond, float64(busiest.Handshakes)*scale/r.span, derivedBasis)
+	r.add(roleBusiestServer, figureHealthChecks, unitPerSecond, float64(busiest.HealthChecks)*scale/r.seconds, derivedBasis)
+	r.add(roleBusiestServer, figureHandshakes, unitPerSecond, float64(busiest.Handshakes)*scale/r.seconds, derivedBasis)
 	r.add(roleBusiestServer, figureConnections, unitNone, float64(busiest.OpenConns)*scale, derivedBasis)
 }
 
-// simulatedCounts returns the traffic of the active hollow routers with all cache servers, and the
+// simulatedStats returns the traffic of the active hollow routers with all cache servers, and the
 // maximum of each counter over the cache servers.
-func (r *reporter) simulatedCounts() (total, busiest CacheStats) {
+func (r *reporter) simulatedStats() (total, busiest CacheStats) {
 	for i := range r.after.fleet.CacheServers {
 		c := r.after.fleet.CacheServers[i].since(r.before.fleet.CacheServers[i])
 		total.add(c)
@@ -152,12 +155,12 @@
 	return total, busiest
 }
 
-// addSimulatedCount adds the figures of a count of simulated traffic, which has no bytes, divided by among.
-func (r *reporter) addSimulatedCount(role string, c CacheStats, among float64, basis string) {
-	r.add(role, figureHealthChecks, unitPerSecond, r.rate(c.HealthChecks, among), basis)
-	r.add(role, figureAttempts, unitPerSecond, r.rate(c.Attempts, among), basis)
-	r.add(role, figureHandshakes, unitPerSecond, r.rate(c.Handshakes, among), basis)
-	r.add(role, figureConnections, unitNone, float64(c.OpenConns)/among, basis)
+// addSimulatedStats adds the figures of simulated traffic, which has no bytes, per member (see rate).
+func (r *reporter) addSimulatedStats(role string, c CacheStats, members float64, basis string) {
+	r.add(role, figureHealthChecks, unitPerSecond, r.rate(c.HealthChecks, members), basis)
+	r.add(role, figureAttempts, unitPerSecond, r.rate(c.Attempts, members), basis)
+	r.add(role, figureHandshakes, unitPerSecond, r.rate(c.Handshakes, members), basis)
+	r.add(role, figureConnections, unitNone, float64(c.OpenConns)/members, basis)
 }
 
 // addConnectedServers adds the figures of the traffic on the sockets of the hollow routers.
@@ -165,19 +168,19 @@
 	connected := r.point.connectedServers()
 	var total CacheStats
 	for k := range connected {
-		total.add(r.cacheCount(r.point.connectedPosition(k), groupHollow))
+		total.add(r.cacheStats(r.point.connectedPosition(k), groupHollow))
 	}
 	basis := fmt.Sprintf("%s at %d of %d", basisMeasured, connected, r.point.CacheServers)
-	r.addCacheCount(roleConnectedServers, total, float64(connected), basis)
+	r.addCacheStats(roleConnectedServers, total, float64(connected), basis)
 }
 
 func (r *reporter) addDiscovery() {
 	hollow, routers := r.point.hollowRouters(), r.point.Routers
 	basis := fmt.Sprintf("%s for %d of %d", basisMeasured, hollow, routers)
 	cpu := r.cpuPercent(r.after.standIns.discovery, r.before.standIns.discovery)
-	r.addDiscoveryCount(roleDiscovery, groupHollow, 1, basis)
+	r.addDiscoveryStats(roleDiscovery, groupHollow, 1, basis)
 	r.add(roleDiscovery, figureProcessorTime, unitPercentOfCore, cpu, basisMeasured+" for the same and the real routers")
-	r.addDiscoveryCount(roleDiscoveryOfFleet, groupHollow, float64(hollow)/float64(routers), basisDerived)
+	r.addDiscoveryStats(roleDiscoveryOfFleet, groupHollow, float64(hollow)/float64(routers), basisDerived)
 }
 
 func (r *reporter) addStandIns() {
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -54,21 +54,21 @@
 	LatenessP99              int64        // 99th percentile of the requests' delays since the last call of Stats, in microseconds
 }
 
-func (c *FleetStats) add(other FleetStats) {
-	if c.CacheServers == nil {
-		c.CacheServers = make([]CacheStats, len(other.CacheServers))
+func (s *FleetStats) add(other FleetStats) {
+	if s.CacheServers == nil {
+		s.CacheServers = make([]CacheStats, len(other.CacheServers))
 	}
-	for i, count := range other.CacheServers {
-		c.CacheServers[i].add(count)
+	for i, stats := range other.CacheServers {
+		s.CacheServers[i].add(stats)
 	}
-	c.Mirrored.add(other.Mirrored)
-	c.Requests += other.Requests
-	c.Served += other.Served
-	c.Timers += other.Timers
-	c.Endpoints += other.Endpoints
-	c.DiscoveryBytes += other.DiscoveryBytes
-	c.MirrorFailures += other.MirrorFailures
-	c.LatenessP99 = max(c.LatenessP99, other.LatenessP99)
+	s.Mirrored.add(other.Mirrored)
+	s.Requests += other.Requests
+	s.Served += other.Served
+	s.Timers += other.Timers
+	s.Endpoints += other.Endpoints
+	s.DiscoveryBytes += other.DiscoveryBytes
+	s.MirrorFailures += other.MirrorFailures
+	s.LatenessP99 = max(s.LatenessP99, other.LatenessP99)
 }
 
 // maxLateness is the upper bound of the histogram of request delays.
@@ -88,7 +88,7 @@
 	unfinished atomic.Int64   // active routers that are not done
 	undrained  sync.WaitGroup // routers that have not finished draining
 	mirrors    sync.WaitGroup
-	lists      endpointListCache
+	listCache  endpointListCache
 
 	// Traffic with the discovery service.
 	endpoints, bytesIn, bytesOut atomic.Int64
@@ -110,7 +110,7 @@
 	if f.settings, f.transport, err = settings.Parse(spec.Settings); err != nil {
 		return nil, err
 	}
-	if f.initial, err = f.lists.parse(spec.InitialEndpoints); err != nil {
+	if f.initial, err = f.listCache.parse(spec.InitialEndpoints); err != nil {
 		return nil, err
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
@@ -145,31 +145,31 @@
 
 // Stats returns the counters so far. It resets the histogram behind LatenessP99.
 func (f *Fleet) Stats() FleetStats {
-	count := FleetStats{
+	stats := FleetStats{
 		CacheServers:   make([]CacheStats, len(f.initial.Endpoints)),
 		Endpoints:      f.endpoints.Load(),
 		DiscoveryBytes: f.bytesIn.Load(),
 	}
-	f.locked(func() {
-		count.Mirrored = f.mirrored
-		count.MirrorFailures = f.mirrorFailures
-		count.LatenessP99 = f.lateness.ValueAtQuantile(p99Quantile)
+	f.withLock(func() {
+		stats.Mirrored = f.mirrored
+		stats.MirrorFailures = f.mirrorFailures
+		stats.LatenessP99 = f.lateness.ValueAtQuantile(p99Quantile)
 		f.lateness.Reset()
 	})
 	for _, h := range f.routers {
-		h.addTo(&count)
+		h.addTo(&stats)
 	}
-	return count
+	return stats
 }
 
-func (f *Fleet) locked(update func()) {
+func (f *Fleet) withLock(update func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	update()
 }
 
 func (f *Fleet) recordLateness(microseconds int64) {
-	f.locked(func() {
+	f.withLock(func() {
 		// RecordValue fails for a value beyond the histogram's range, which is not recorded.
 		_ = f.lateness.RecordValue(max(minHistogramValue, microseconds))
 	})
--- a/internal/scaletest/fleet_test.go
+++ b/internal/scaletest/fleet_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// The fleet of TestFleetCountsMatchStandIns.
+// The fleet of TestFleetStatsMatchStandIns.
 const (
-	testServers      = 4
-	testActive       = 3
-	testRepresented  = 2 // routers represented by each active router
-	testWatchOnly    = 2
-	testRenewals     = 3 // changes of the live weights
-	testRequestQuota = 300
+	testServers       = 4
+	testActive        = 3
+	testRepresented   = 2 // routers represented by each active router
+	testWatchOnly     = 2
+	testWeightChanges = 3 // changes of the live weights
+	testRequestQuota  = 300
 )
 
 // testFleet is a fleet of hollow routers with its cache servers and discovery agent.
@@ -55,11 +55,11 @@
 	return f
 }
 
-// renewWeights changes the live weights testRenewals times and waits each time until all routers have
+// changeWeights changes the live weights testRenewals times and waits each time until all routers have
 // applied the new version. It returns the minimum size of the lists that this takes, in bytes.
-func (f *testFleet) renewWeights(t *testing.T) (bytes int) {
+func (f *testFleet) changeWeights(t *testing.T) (bytes int) {
 	t.Helper()
-	for version := int64(2); version < 2+testRenewals; version++ {
+	for version := int64(2); version < 2+testWeightChanges; version++ {
 		f.agent.ChangeWeights()
 		bytes += len(f.agent.deltas[0].body) * (testActive + testWatchOnly)
 		for n := 0; n < testActive+testWatchOnly; {
@@ -76,11 +76,11 @@
 	return bytes
 }
 
-// TestFleetCountsMatchStandIns checks that the counters of the hollow routers agree with those of the cache
+// TestFleetStatsMatchStandIns checks that the counters of the hollow routers agree with those of the cache
 // servers and the discovery agent. The results of a point are computed from both.
-func TestFleetCountsMatchStandIns(t *testing.T) {
+func TestFleetStatsMatchStandIns(t *testing.T) {
 	f := startTestFleet(t)
-	listBytes := f.renewWeights(t)
+	listBytes := f.changeWeights(t)
 	select {
 	case <-f.Done:
 	case <-time.After(testTimeout):
@@ -88,20 +88,20 @@
 	}
 	f.Drain()
 	f.servers.Wait()
-	count := f.Stats()
-	f.checkServers(t, count)
-	if count.Requests < testRequestQuota*testActive || count.Served == 0 || count.Timers < count.Requests {
-		t.Errorf("requests %d, served %d, timers %d", count.Requests, count.Served, count.Timers)
+	stats := f.Stats()
+	f.checkServers(t, stats)
+	if stats.Requests < testRequestQuota*testActive || stats.Served == 0 || stats.Timers < stats.Requests {
+		t.Errorf("requests %d, served %d, timers %d", stats.Requests, stats.Served, stats.Timers)
 	}
-	f.checkDiscovery(t, count, int64(listBytes))
+	f.checkDiscovery(t, stats, int64(listBytes))
 }
 
 // checkServers compares the counters of the cache servers with those of the fleet.
 func (f *testFleet) checkServers(t *testing.T, fleet FleetStats) {
 	t.Helper()
 	var arrived CacheStats
-	for position, counts := range f.servers.Stats() {
-		got, simulated := counts[0], fleet.CacheServers[position]
+	for position, stats := range f.servers.Stats() {
+		got, simulated := stats[0], fleet.CacheServers[position]
 		if simulated.HealthChecks < testActive || simulated.Attempts == 0 || simulated.Handshakes == 0 || simulated.OpenConns != 0 {
 			t.Errorf("cache server %d: simulated %+v", position, simulated)
 		}
@@ -139,7 +139,7 @@
 // checkDiscovery compares the counters of the discovery agent with those of the fleet.
 func (f *testFleet) checkDiscovery(t *testing.T, fleet FleetStats, minBytes int64) {
 	t.Helper()
-	sent, endpoints := f.agent.Stats()[0], int64(testServers*testRenewals*(testActive+testWatchOnly))
+	sent, endpoints := f.agent.Stats()[0], int64(testServers*testWeightChanges*(testActive+testWatchOnly))
 	if sent.Endpoints != endpoints || fleet.Endpoints != endpoints || sent.BytesOut < fleet.DiscoveryBytes || fleet.DiscoveryBytes < minBytes {
 		t.Errorf("discovery sent %d endpoints in %d bytes, the fleet got %d in %d; want %d in %d or more",
 			sent.Endpoints, sent.BytesOut, fleet.Endpoints, fleet.DiscoveryBytes, endpoints, minBytes)
--- a/internal/scaletest/hollow_requests.go
+++ b/internal/scaletest/hollow_requests.go
@@ -24,19 +24,19 @@
 // scheduleArrival schedules the next request at its due time, whether or not earlier ones are answered
 // (open loop).
 func (h *hollowRouter) scheduleArrival() {
-	h.nextArrival = h.nextArrival.Add(h.workload.interval(h.fleet.spec.RequestRate))
+	h.nextArrival = h.nextArrival.Add(h.workload.nextInterval(h.fleet.spec.RequestRate))
 	h.scheduleAt(h.nextArrival.UnixMicro(), func() {
 		if h.draining {
 			return
 		}
 		h.fleet.recordLateness(h.now - h.nextArrival.UnixMicro())
-		h.arrive()
+		h.handleArrival()
 		h.scheduleArrival()
 	})
 }
 
-// arrive takes the next request from the workload and passes it to the engine.
-func (h *hollowRouter) arrive() {
+// handleArrival takes the next request from the workload and passes it to the engine.
+func (h *hollowRouter) handleArrival() {
 	next := h.workload.next()
 	h.requestCount++
 	r := &request{
@@ -112,7 +112,7 @@
 func (h *hollowRouter) cancelAttempt(action policy.Cancel) {
 	r := h.requests[action.ID]
 	if r != nil && action.Attempt < len(r.attempts) {
-		r.attempts[action.Attempt].giveUp(policy.Cancelled)
+		r.attempts[action.Attempt].abandon(policy.Cancelled)
 	}
 }
 
@@ -143,7 +143,7 @@
 		Miss:    miss,
 		Load:    report,
 	})
-	h.forgetIfDone(r)
+	h.removeIfDone(r)
 }
 
 // answer marks a request as answered and ends its attempts that still wait for a connection.
@@ -157,10 +157,10 @@
 			a.finish(policy.NotSent, false)
 		}
 	}
-	h.forgetIfDone(r)
+	h.removeIfDone(r)
 }
 
-func (h *hollowRouter) forgetIfDone(r *request) {
+func (h *hollowRouter) removeIfDone(r *request) {
 	if r.answered && r.outstanding == 0 {
 		delete(h.requests, r.id)
 	}
--- a/internal/scaletest/hollow_router.go
+++ b/internal/scaletest/hollow_router.go
@@ -20,7 +20,7 @@
 type hollowRouter struct {
 	fleet        *Fleet
 	active       bool            // whether it gets requests
-	mirrorDelays []time.Duration // delays of its own sockets (0, the first) and of each represented router's
+	mirrorDelays []time.Duration // delays of the mirrors: 0 for the router itself, then one per represented router
 	client       *http.Client    // for calls to discovery
 
 	mu                  sync.Mutex // guards the fields below
@@ -54,7 +54,7 @@
 		requests:         map[int64]*request{},
 		poolsByName:      map[string]*pool{},
 		endpointsVersion: f.initial.Version,
-		maxConns:         (f.spec.RouterDescriptors - reservedDescriptors) * serverShareNumerator / serverShareDenominator,
+		maxConns:         (f.spec.RouterDescriptors - routerReservedDescriptors) * serverShareNumerator / serverShareDenominator,
 	}
 	settings := f.settings
 	settings.HealthChecksAllowed = settings.HealthChecksAllowed && h.active
@@ -172,13 +172,13 @@
 }
 
 // addTo adds the router's counters to those of the fleet.
-func (h *hollowRouter) addTo(count *FleetStats) {
+func (h *hollowRouter) addTo(stats *FleetStats) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	count.Requests += h.requestCount
-	count.Served += h.servedCount
-	count.Timers += h.timerCount
+	stats.Requests += h.requestCount
+	stats.Served += h.servedCount
+	stats.Timers += h.timerCount
 	for _, p := range h.pools {
-		count.CacheServers[p.position].add(p.count)
+		stats.CacheServers[p.position].add(p.stats)
 	}
 }
--- a/internal/scaletest/hollow_watch.go
+++ b/internal/scaletest/hollow_watch.go
@@ -84,7 +84,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, &discovery.StatusError{Code: resp.StatusCode, Status: resp.Status}
 	}
-	return h.fleet.lists.parse(body)
+	return h.fleet.listCache.parse(body)
 }
 
 // applyEndpoints updates the pools with an endpoint list and passes it to the engine.
--- a/internal/scaletest/mirror.go
+++ b/internal/scaletest/mirror.go
@@ -23,8 +23,8 @@
 	nc, err := net.DialTimeout("tcp", addr, mirrorDialTimeout)
 	if err == nil {
 		defer nc.Close()
-		f.locked(func() { f.mirrored.add(CacheStats{Handshakes: 1, OpenConns: 1}) })
-		defer f.locked(func() { f.mirrored.OpenConns-- })
+		f.withLock(func() { f.mirrored.add(CacheStats{Handshakes: 1, OpenConns: 1}) })
+		defer f.withLock(func() { f.mirrored.OpenConns-- })
 	}
 	replyBuffer := make([]byte, replySize)
 	for message := range messages {
@@ -42,7 +42,7 @@
 }
 
 func (f *Fleet) countMirrored(message mirroredMessage, err error) {
-	f.locked(func() {
+	f.withLock(func() {
 		switch {
 		case err != nil:
 			f.mirrorFailures++
--- a/internal/scaletest/point.go
+++ b/internal/scaletest/point.go
@@ -13,10 +13,10 @@
 	CacheServers, Routers int
 
 	RequestRate       float64       // requests per second at each router
-	HollowRouters     int           // maximum of hollow routers; each keeps a watch
-	ActiveRouters     int           // maximum of hollow routers that also get requests
-	ConnectedServers  int           // maximum of cache servers to which the sockets of the whole fleet are opened
-	MaxServerConns    int           // maximum of connections per cache server
+	HollowRouters     int           // maximum number of hollow routers; each keeps a watch
+	ActiveRouters     int           // maximum number of hollow routers that also get requests
+	ConnectedServers  int           // maximum number of cache servers to which the sockets of the whole fleet are opened
+	MaxServerConns    int           // maximum number of connections per cache server
 	RouterDescriptors int           // limit of file descriptors per router
 	RouterMemoryMB    int           // memory limit per router
 	WatchRequired     bool          // routers get the endpoint list only by starting a watch
@@ -29,7 +29,7 @@
 const (
 	cacheServersPerProcess  = 200
 	hollowRoutersPerProcess = 350
-	minActiveProcesses      = 2 // minimum of hollow router processes if there are at least as many active routers
+	minActiveProcesses      = 2 // minimum number of hollow router processes if there are at least as many active routers
 )
 
 // The valid ranges of a point's fields.
@@ -96,7 +96,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	needed := max(p.fleetDescriptors(), p.cacheServerDescriptors()) + descriptorReserve
+	needed := max(p.fleetDescriptors(), p.cacheServerDescriptors()) + processDescriptorReserve
 	if uint64(needed) > limit.Cur {
 		return &DescriptorError{Needed: needed, Limit: limit.Cur}
 	}
@@ -105,16 +105,16 @@
 
 // Upper bounds for the estimate of a process's file descriptors.
 const (
-	descriptorReserve = 200 // for descriptors that are not counted
-	connsPerRouter    = 2   // connections of a router to discovery, or to a connected cache server
-	connsWithClosing  = 3   // connections of a router to a cache server, including those that are closing
-	realRouters       = int(groupCount - firstRealGroup)
+	processDescriptorReserve  = 200 // for descriptors that are not counted
+	connsPerRouter            = 2   // connections of a router to discovery, or to a connected cache server
+	connsPerRouterWithClosing = 3   // connections of a router to a cache server, including those that are closing
+	realRouters               = int(groupCount - firstRealGroup)
 )
 
 // fleetDescriptors returns an upper bound of the descriptors of a process of hollow routers.
 func (p *Point) fleetDescriptors() int {
 	watches := connsPerRouter * p.hollowRouters() / p.fleetProcesses()
-	mirrors := connsWithClosing * p.connectedServers() * (1 + p.Routers/p.fleetProcesses())
+	mirrors := connsPerRouterWithClosing * p.connectedServers() * (1 + p.Routers/p.fleetProcesses())
 	return watches + mirrors
 }
 
@@ -143,8 +143,8 @@
 // middle one of the nominal weights.
 func (p *Point) connectedPosition(k int) int {
 	position := k * p.CacheServers / p.connectedServers()
-	if p.CacheServers/p.connectedServers() >= serverSizes {
-		position += serverSizes/2 - position%serverSizes
+	if p.CacheServers/p.connectedServers() >= nominalWeightCount {
+		position += nominalWeightCount/2 - position%nominalWeightCount
 	}
 	return position
 }
--- a/internal/scaletest/pool.go
+++ b/internal/scaletest/pool.go
@@ -27,12 +27,12 @@
 	position         int // of the cache server on the endpoint list
 	name, addr       string
 	connected        bool // whether sockets are opened to the cache server
-	inService        bool // whether the endpoint list allows new work
+	inService        bool // whether the cache server is in service by the endpoint list
 	settleTimerArmed bool
 	maxConns         int
-	idle             []*simulatedConn // in the order of last use
+	idle             []*simulatedConn // in order of last use, the most recent last
 	waiting          []*attempt       // attempts that wait for a connection
-	count            CacheStats
+	stats            CacheStats
 }
 
 func newPool(h *hollowRouter, position int, name, addr string) *pool {
@@ -50,7 +50,7 @@
 func (p *pool) send(a *attempt) {
 	h := p.router
 	h.outstandingAttempts++
-	h.scheduleAt(a.deadline, func() { a.giveUp(policy.TimedOut) })
+	h.scheduleAt(a.deadline, func() { a.abandon(policy.TimedOut) })
 	p.waiting = append(p.waiting, a)
 	p.dispatch()
 	if a.conn == nil && !a.done {
@@ -62,7 +62,7 @@
 func (p *pool) dialTimedOut(a *attempt) {
 	switch {
 	case a.conn != nil:
-	case p.count.OpenConns == 0:
+	case p.stats.OpenConns == 0:
 		a.finish(policy.NotSent, false) // no descriptor was available, so no connection was attempted
 	default:
 		a.finish(policy.ConnectFailed, false)
@@ -70,6 +70,7 @@
 }
 
 // dispatch assigns connections to the waiting attempts and closes connections that were idle for too long.
+// If the cache server is out of service, it closes all idle connections and ends the waiting attempts.
 func (p *pool) dispatch() {
 	h := p.router
 	p.closeIdle(h.now - p.idleCutoff())
@@ -87,7 +88,7 @@
 			return
 		}
 		p.waiting = p.waiting[1:]
-		c.carry(a)
+		c.send(a)
 	}
 }
 
@@ -103,8 +104,8 @@
 	}
 	// Each idle connection settles soon and then serves one of the waiting attempts, so a new one is
 	// opened only if more attempts wait than connections are idle.
-	mayOpen := len(p.idle) < len(p.waiting) && p.count.OpenConns < int64(p.maxConns)
-	if mayOpen && p.router.takeDescriptor() {
+	mayOpen := len(p.idle) < len(p.waiting) && p.stats.OpenConns < int64(p.maxConns)
+	if mayOpen && p.router.acquireDescriptor() {
 		return p.open()
 	}
 	p.armSettleTimer()
@@ -122,8 +123,8 @@
 }
 
 func (p *pool) open() *simulatedConn {
-	p.count.OpenConns++
-	p.count.Handshakes++
+	p.stats.OpenConns++
+	p.stats.Handshakes++
 	c := &simulatedConn{pool: p}
 	if p.connected {
 		c.startMirrors()
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -20,18 +20,18 @@
 	encoder  *json.Encoder // writes to its standard input
 	decoder  *json.Decoder // reads its standard output
 	log      logTail
-	ended    chan struct{} // closed when the process has exited
+	exited   chan struct{} // closed when the process has exited
 	stopping atomic.Bool   // set when stop is called
 }
 
-// processEndedError means that a process exited without being stopped.
-type processEndedError struct {
+// processExitError means that a process exited without being stopped.
+type processExitError struct {
 	name  string
 	state *os.ProcessState
 	log   string
 }
 
-func (e *processEndedError) Error() string {
+func (e *processExitError) Error() string {
 	return fmt.Sprintf("%s exited unexpectedly (%v); its log ends with:\n%s", e.name, e.state, e.log)
 }
 
@@ -41,7 +41,7 @@
 	// Pdeathsig kills it when this program exits.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	p.cmd.Stderr = &p.log
-	p.ended = make(chan struct{})
+	p.exited = make(chan struct{})
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
@@ -51,16 +51,16 @@
 
 func (p *process) wait(onExit func(error)) {
 	_ = p.cmd.Wait() // the process state has the exit status
-	close(p.ended)
+	close(p.exited)
 	if !p.stopping.Load() {
-		onExit(&processEndedError{name: p.name, state: p.cmd.ProcessState, log: p.log.String()})
+		onExit(&processExitError{name: p.name, state: p.cmd.ProcessState, log: p.log.String()})
 	}
 }
 
-// startWorker starts this program as a worker, sends its role and decodes its first reply into ready. If
+// startWorker starts this program as a worker, sends it the spec and decodes its first reply into ready. If
 // the worker was started but did not become ready, startWorker returns both the process, which the caller
 // has to stop, and an error.
-func startWorker(name string, r role, ready any, onExit func(error)) (*process, error) {
+func startWorker(name string, spec workerSpec, ready any, onExit func(error)) (*process, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	if err := p.start(onExit); err != nil {
 		return nil, err
 	}
-	return p, p.exchange(r, ready)
+	return p, p.exchange(spec, ready)
 }
 
 // do sends a command to the worker and decodes its reply.
@@ -101,7 +101,7 @@
 func (p *process) stop() {
 	p.stopping.Store(true)
 	_ = p.cmd.Process.Kill() // fails only if the process has exited
-	<-p.ended
+	<-p.exited
 }
 
 // usage is the resource usage of one or more processes: processor time in seconds and memory in bytes.
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -80,8 +80,8 @@
 		fmt.Fprintf(&text, "control of a router, %s: %.4g %s, %s the %.4g it may spend\n",
 			f.Name, f.Value, f.Unit, verdict, budget.max)
 	}
-	for _, left := range r.NotMeasured {
-		fmt.Fprintln(&text, "not measured:", left)
+	for _, note := range r.NotMeasured {
+		fmt.Fprintln(&text, "not measured:", note)
 	}
 	_, err := out.Write(text.Bytes())
 	return err
--- a/internal/scaletest/router_process.go
+++ b/internal/scaletest/router_process.go
@@ -28,7 +28,7 @@
 
 // The reasons why a router did not start.
 var (
-	errRouterEnded      = errors.New("the process exited")
+	errRouterExited     = errors.New("the process exited")
 	errRouterNotServing = errors.New("timed out before it served")
 )
 
@@ -103,8 +103,8 @@
 	select {
 	case addr = <-serving:
 		return addr, ping(addr)
-	case <-p.ended:
-		return "", errRouterEnded
+	case <-p.exited:
+		return "", errRouterExited
 	case <-time.After(routerStartTimeout):
 		return "", errRouterNotServing
 	case <-ctx.Done():
--- a/internal/scaletest/runner.go
+++ b/internal/scaletest/runner.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// outageAftermath is the time after an outage of discovery over which calls are counted.
-const outageAftermath = 2 * time.Second
+// postOutageWindow is the time after an outage of discovery over which calls are counted.
+const postOutageWindow = 2 * time.Second
 
 // Run measures one point. The given program is run as the real router.
 func Run(ctx context.Context, p Point, program string) (*Result, error) {
@@ -70,16 +70,16 @@
 	if err := t.discovery.do(commandDiscoveryUp, &up); err != nil {
 		return err
 	}
-	if err := sleep(ctx, outageAftermath); err != nil {
+	if err := sleep(ctx, postOutageWindow); err != nil {
 		return err
 	}
 	if err := t.discovery.do(commandCount, &after); err != nil {
 		return err
 	}
-	callsPerRouter := func(from, to []DiscoveryStats, span time.Duration) float64 {
-		return float64(to[groupHollow].Calls-from[groupHollow].Calls) / float64(t.hollowRouters()) / span.Seconds()
+	callsPerRouter := func(from, to []DiscoveryStats, elapsed time.Duration) float64 {
+		return float64(to[groupHollow].Calls-from[groupHollow].Calls) / float64(t.hollowRouters()) / elapsed.Seconds()
 	}
-	whileDown, atReturn := callsPerRouter(down, up, t.Outage), callsPerRouter(up, after, outageAftermath)
+	whileDown, atReturn := callsPerRouter(down, up, t.Outage), callsPerRouter(up, after, postOutageWindow)
 	result.add(roleDiscovery, "calls a router while it is down", unitPerSecond, whileDown, basisMeasured)
 	result.add(roleDiscovery, "calls a router at its return", unitPerSecond, atReturn, basisMeasured)
 	return nil
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -9,7 +9,7 @@
 
 // sample holds the counters of all processes at one time.
 type sample struct {
-	at           time.Time
+	takenAt      time.Time
 	cacheServers [][]CacheStats // by cache server and group
 	discovery    []DiscoveryStats
 	fleet        FleetStats
@@ -22,7 +22,7 @@
 type standInUsage struct{ cacheServers, discovery, fleet usage }
 
 func (t *testbed) takeSample() (*sample, error) {
-	s := &sample{at: time.Now()}
+	s := &sample{takenAt: time.Now()}
 	err := errors.Join(
 		t.sampleRealRouters(s),
 		t.sampleCacheServers(s),
@@ -46,9 +46,9 @@
 func (t *testbed) sampleCacheServers(s *sample) error {
 	var errs []error
 	for _, p := range t.cacheServers {
-		var counts [][]CacheStats
-		errs = append(errs, p.do(commandCount, &counts), s.standIns.cacheServers.add(p))
-		s.cacheServers = append(s.cacheServers, counts...)
+		var stats [][]CacheStats
+		errs = append(errs, p.do(commandCount, &stats), s.standIns.cacheServers.add(p))
+		s.cacheServers = append(s.cacheServers, stats...)
 	}
 	return errors.Join(errs...)
 }
@@ -60,9 +60,9 @@
 func (t *testbed) sampleFleets(s *sample) error {
 	var errs []error
 	for _, p := range t.fleets {
-		var count FleetStats
-		errs = append(errs, p.do(commandCount, &count), s.standIns.fleet.add(p))
-		s.fleet.add(count)
+		var stats FleetStats
+		errs = append(errs, p.do(commandCount, &stats), s.standIns.fleet.add(p))
+		s.fleet.add(stats)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/scaletest/simulated_conn.go
+++ b/internal/scaletest/simulated_conn.go
@@ -37,18 +37,18 @@
 	}
 }
 
-// carry sends an attempt and schedules its reply after the simulated service time.
-func (c *simulatedConn) carry(a *attempt) {
+// send sends an attempt and schedules its reply after the simulated service time.
+func (c *simulatedConn) send(a *attempt) {
 	p, h := c.pool, c.pool.router
 	c.attempt, a.conn = a, c
 	message := mirroredMessage{sentAt: time.Now(), healthCheck: a.isHealthCheck()}
 	elapsed, miss := pingTime, false
 	if a.isHealthCheck() {
-		p.count.HealthChecks++
+		p.stats.HealthChecks++
 		message.bytes = resp.AppendPing(nil)
 	} else {
-		p.count.Attempts++
-		elapsed, miss = workTime()
+		p.stats.Attempts++
+		elapsed, miss = serviceTime()
 		if p.connected {
 			message.bytes = a.command(h.now)
 		}
@@ -68,7 +68,7 @@
 		select {
 		case messages <- message:
 		default:
-			f.locked(func() { f.mirrorFailures++ })
+			f.withLock(func() { f.mirrorFailures++ })
 		}
 	}
 }
@@ -78,6 +78,6 @@
 	for _, messages := range c.mirrors {
 		close(messages)
 	}
-	c.pool.count.OpenConns--
-	c.pool.router.returnDescriptor()
+	c.pool.stats.OpenConns--
+	c.pool.router.releaseDescriptor()
 }
--- a/internal/scaletest/slopes.go
+++ b/internal/scaletest/slopes.go
@@ -24,16 +24,16 @@
 	Points        int     `json:"points"`
 }
 
-// fleetSize is a size of the fleet that figures grow with.
-type fleetSize struct {
-	name string
-	of   func(*Result) float64
+// sizeVariable is a size of the fleet that figures grow with.
+type sizeVariable struct {
+	name  string
+	value func(*Result) float64
 }
 
 var (
-	byCacheServers = fleetSize{"cache", cacheServerCount}
-	byRouters      = fleetSize{"router", routerCount}
-	byPairs        = fleetSize{"cache and router", func(r *Result) float64 { return cacheServerCount(r) * routerCount(r) }}
+	byCacheServers = sizeVariable{"cache", cacheServerCount}
+	byRouters      = sizeVariable{"router", routerCount}
+	byPairs        = sizeVariable{"cache and router", func(r *Result) float64 { return cacheServerCount(r) * routerCount(r) }}
 )
 
 func cacheServerCount(r *Result) float64 { return float64(r.CacheServers) }
@@ -42,7 +42,7 @@
 // slopeFigures lists the figures of the control traffic and the size that each grows with.
 var slopeFigures = []struct {
 	role, name string
-	size       fleetSize
+	size       sizeVariable
 }{
 	{roleControl, figureProcessorTime, byCacheServers},
 	{roleControl, figureMemory, byCacheServers},
@@ -74,7 +74,7 @@
 	for _, f := range slopeFigures {
 		var sizes, values []float64
 		for _, r := range points {
-			sizes = append(sizes, f.size.of(r))
+			sizes = append(sizes, f.size.value(r))
 			values = append(values, r.Value(f.role, f.name))
 		}
 		if stat.Variance(sizes, nil) <= 0 {
--- a/internal/scaletest/testbed.go
+++ b/internal/scaletest/testbed.go
@@ -45,8 +45,8 @@
 }
 
 // startWorker starts a worker process and decodes its first reply into ready.
-func (t *testbed) startWorker(name string, r role, ready any) (*process, error) {
-	p, err := startWorker(name, r, ready, t.onExit)
+func (t *testbed) startWorker(name string, spec workerSpec, ready any) (*process, error) {
+	p, err := startWorker(name, spec, ready, t.onExit)
 	if p != nil {
 		t.processes = append(t.processes, p)
 	}
@@ -65,7 +65,7 @@
 			IdleTimeout: keepalive,
 		}
 		var ready [][]string
-		p, err := t.startWorker("caches", role{CacheServers: spec}, &ready)
+		p, err := t.startWorker("caches", workerSpec{CacheServers: spec}, &ready)
 		if err != nil {
 			return nil, err
 		}
@@ -77,7 +77,7 @@
 
 func (t *testbed) startDiscovery(addrs [][]string) (ready discoveryReady, err error) {
 	spec := &discoverySpec{Addrs: addrs, Groups: int(groupCount), RestartInterval: t.RestartInterval}
-	t.discovery, err = t.startWorker("agent", role{Discovery: spec}, &ready)
+	t.discovery, err = t.startWorker("agent", workerSpec{Discovery: spec}, &ready)
 	return ready, err
 }
 
@@ -121,7 +121,7 @@
 func (t *testbed) startFleets(discovery discoveryReady) error {
 	for i := range t.fleetProcesses() {
 		var started int
-		p, err := t.startWorker("fleet", role{Fleet: t.fleetSpec(i, discovery)}, &started)
+		p, err := t.startWorker("fleet", workerSpec{Fleet: t.fleetSpec(i, discovery)}, &started)
 		if err != nil {
 			return err
 		}
--- a/internal/scaletest/worker.go
+++ b/internal/scaletest/worker.go
@@ -13,8 +13,8 @@
 // RoleEnv is the environment variable that, if it is set, makes a process of this program a worker.
 const RoleEnv = "SCALETEST_ROLE"
 
-// role configures a worker. Exactly one field is set.
-type role struct {
+// workerSpec configures a worker. Exactly one field is set.
+type workerSpec struct {
 	CacheServers *CacheServersSpec
 	Discovery    *discoverySpec
 	Fleet        *FleetSpec
@@ -50,15 +50,15 @@
 	handle(command workerCommand) any
 }
 
-// RunWorker runs a worker. It reads a role and then commands from in, and replies to each on out, until in
-// is closed.
+// RunWorker runs a worker. It reads a workerSpec and then commands from in, and replies to each on out,
+// until in is closed.
 func RunWorker(in io.Reader, out io.Writer) error {
 	decoder, encoder := json.NewDecoder(in), json.NewEncoder(out)
-	var r role
-	if err := decoder.Decode(&r); err != nil {
+	var spec workerSpec
+	if err := decoder.Decode(&spec); err != nil {
 		return err
 	}
-	w, err := newWorker(r)
+	w, err := newWorker(spec)
 	if err != nil {
 		return err
 	}
@@ -79,15 +79,15 @@
 	}
 }
 
-func newWorker(r role) (worker, error) {
+func newWorker(spec workerSpec) (worker, error) {
 	switch {
-	case r.CacheServers != nil:
-		servers, err := StartCacheServers(*r.CacheServers)
+	case spec.CacheServers != nil:
+		servers, err := StartCacheServers(*spec.CacheServers)
 		return cacheServersWorker{servers}, err
-	case r.Discovery != nil:
-		return startDiscoveryWorker(*r.Discovery)
+	case spec.Discovery != nil:
+		return startDiscoveryWorker(*spec.Discovery)
 	default:
-		return startFleetWorker(*r.Fleet)
+		return startFleetWorker(*spec.Fleet)
 	}
 }
 
--- a/internal/scaletest/workload.go
+++ b/internal/scaletest/workload.go
@@ -50,8 +50,8 @@
 	return &workload{rng: rng, keys: rand.NewZipf(rng, zipfExponent, zipfOffset, maxZipfKey)}
 }
 
-// interval draws the time to the next request of a Poisson process with the given rate per second.
-func (w *workload) interval(rate float64) time.Duration {
+// nextInterval draws the time to the next request of a Poisson process with the given rate per second.
+func (w *workload) nextInterval(rate float64) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
