--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -51,7 +51,7 @@
 	MirrorFailures           int64        // messages on these sockets that failed
 	Endpoints                int64        // endpoints received from discovery by all hollow routers
 	DiscoveryBytes           int64        // bytes received from discovery by all hollow routers
-	LatenessP99              int64        // 99th percentile of the requests' delays since the last call of Stats, in microseconds
+	LatenessP99              int64        // 99th percentile of request delays since the last call of Stats, microseconds
 }
 
 func (s *FleetStats) add(other FleetStats) {
--- a/internal/scaletest/point.go
+++ b/internal/scaletest/point.go
@@ -15,13 +15,13 @@
 	RequestRate       float64       // requests per second at each router
 	HollowRouters     int           // maximum number of hollow routers; each keeps a watch
 	ActiveRouters     int           // maximum number of hollow routers that also get requests
-	ConnectedServers  int           // maximum number of cache servers to which the sockets of the whole fleet are opened
+	ConnectedServers  int           // maximum number of cache servers to which the whole fleet opens sockets
 	MaxServerConns    int           // maximum number of connections per cache server
 	RouterDescriptors int           // limit of file descriptors per router
 	RouterMemoryMB    int           // memory limit per router
 	WatchRequired     bool          // routers get the endpoint list only by starting a watch
 	Warmup, Window    time.Duration // time before the measurement, and its duration
-	RestartInterval   time.Duration // time in which one cache server is listed as terminated and started again; 0 for never
+	RestartInterval   time.Duration // time in which one cache server is listed as restarted; 0 for never
 	Outage            time.Duration // time for which discovery is down after the window; 0 for no outage
 }
 
@@ -29,7 +29,7 @@
 const (
 	cacheServersPerProcess  = 200
 	hollowRoutersPerProcess = 350
-	minActiveProcesses      = 2 // minimum number of hollow router processes if there are at least as many active routers
+	minActiveProcesses      = 2 // minimum of hollow router processes if there are as many active routers
 )
 
 // The valid ranges of a point's fields.
@@ -107,7 +107,7 @@
 const (
 	processDescriptorReserve  = 200 // for descriptors that are not counted
 	connsPerRouter            = 2   // connections of a router to discovery, or to a connected cache server
-	connsPerRouterWithClosing = 3   // connections of a router to a cache server, including those that are closing
+	connsPerRouterWithClosing = 3   // connections of a router to a cache server, including closing ones
 	realRouters               = int(groupCount - firstRealGroup)
 )
 
