--- a/internal/scaletest/cache_server.go
+++ b/internal/scaletest/cache_server.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file implements the stand-ins for cache servers.
+// This file implements the simulated cache servers.
 
 import (
 	"fmt"
@@ -16,26 +16,26 @@
 	"marlstage/internal/resp"
 )
 
-// How long a cache server works on a request, and the sizes of its replies. The time of a hit is
-// distributed exponentially, with this mean.
+// The service times and reply sizes of a cache server. The service time of a hit is distributed
+// exponentially.
 const (
 	meanHitTime = time.Millisecond
 	missTime    = 20 * time.Millisecond
 	missRatio   = .08
 	valueSize   = 512           // bytes
-	replySize   = 2 * valueSize // bytes, at most
+	replySize   = 2 * valueSize // upper bound, bytes
 )
 
-// workTime draws how long a cache server works on a request.
-func workTime() (elapsed time.Duration, miss bool) {
+// serviceTime draws a random service time for a request and whether the request is a miss.
+func serviceTime() (elapsed time.Duration, miss bool) {
 	if rand.Float64() < missRatio {
 		return missTime, true
 	}
 	return time.Duration(rand.ExpFloat64() * float64(meanHitTime)), false
 }
 
-// CacheServers are stand-ins for cache servers in one process. Each has an address of its own, and
-// there a port for each group of routers.
+// CacheServers are simulated cache servers in one process. Each has an IP address of its own and
+// listens there on one port per group of routers.
 type CacheServers struct {
 	Addrs [][]string // by cache server and group
 
@@ -44,15 +44,15 @@
 	conns   sync.WaitGroup
 }
 
-// CacheServersSpec says what the stand-ins are.
+// CacheServersSpec configures the simulated cache servers of one process.
 type CacheServersSpec struct {
-	First, Count int           // positions on the endpoint list
-	Groups       int           // groups of routers
-	MaxConns     int64         // connections that one holds; further ones are closed at once
-	IdleTimeout  time.Duration // after which one closes a connection
+	First, Count int           // first position on the endpoint list, and number of cache servers
+	Groups       int           // number of groups of routers
+	MaxConns     int64         // maximum number of connections per cache server; further ones are closed at once
+	IdleTimeout  time.Duration // idle time after which a cache server closes a connection
 }
 
-// cacheServer is one stand-in.
+// cacheServer is one simulated cache server.
 type cacheServer struct {
 	openConns atomic.Int64 // over all groups
 	ports     []*cachePort
@@ -62,22 +62,22 @@
 type cachePort struct {
 	mu       sync.Mutex
 	listener net.Listener
-	count    CacheCount
+	stats    CacheStats
 }
 
-func (p *cachePort) updateCount(update func(*CacheCount)) {
+func (p *cachePort) updateStats(update func(*CacheStats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	update(&p.count)
+	update(&p.stats)
 }
 
-// The address plan: so many cache servers for each value of an address's third byte.
+// Cache servers have addresses 127.77.S.N, with serversPerSubnet of them for each value of S.
 const (
 	serversPerSubnet = 250
 	maxCacheServers  = 8 * serversPerSubnet
 )
 
-// StartCacheServers has the cache servers listen, on free ports.
+// StartCacheServers starts the cache servers on free ports.
 func StartCacheServers(spec CacheServersSpec) (*CacheServers, error) {
 	c := &CacheServers{spec: spec}
 	for position := spec.First; position < spec.First+spec.Count; position++ {
@@ -116,24 +116,24 @@
 		}
 		if server.openConns.Add(1) > c.spec.MaxConns {
 			server.openConns.Add(-1)
-			port.updateCount(func(count *CacheCount) { count.RejectedConns++ })
+			port.updateStats(func(stats *CacheStats) { stats.RejectedConns++ })
 			nc.Close()
 			continue
 		}
-		port.updateCount(func(count *CacheCount) {
-			count.Handshakes++
-			count.OpenConns++
+		port.updateStats(func(stats *CacheStats) {
+			stats.Handshakes++
+			stats.OpenConns++
 		})
 		c.conns.Go(func() {
 			c.serve(nc, port)
 			nc.Close()
 			server.openConns.Add(-1)
-			port.updateCount(func(count *CacheCount) { count.OpenConns-- })
+			port.updateStats(func(stats *CacheStats) { stats.OpenConns-- })
 		})
 	}
 }
 
-// serve answers the commands of one connection in turn.
+// serve answers the commands of one connection one after the other.
 func (c *CacheServers) serve(nc net.Conn, port *cachePort) {
 	reader := redcon.NewReader(nc)
 	for nc.SetReadDeadline(time.Now().Add(c.spec.IdleTimeout)) == nil {
@@ -149,28 +149,28 @@
 	}
 }
 
-// The number of a command's arguments, with its name.
+// The number of arguments of a command, including its name.
 const (
 	getArguments = resp.OptionsArgument + 1
 	setArguments = resp.ValueArgument + 1
 )
 
 var (
-	value       = strings.Repeat("v", valueSize)
+	replyValue  = strings.Repeat("v", valueSize)
 	loadReport  = "fail_rate=0,rate=1000,busy=0.40"
-	hitReply    = resp.AppendCommand(nil, value, "hit", loadReport)
-	missReply   = resp.AppendCommand(nil, value, "miss", loadReport)
+	hitReply    = resp.AppendCommand(nil, replyValue, "hit", loadReport)
+	missReply   = resp.AppendCommand(nil, replyValue, "miss", loadReport)
 	pongReply   = []byte(resp.PongReply)
 	syntaxError = []byte("-SYNTAX\r\n")
 )
 
-// execute returns the reply to a command, after the time that the work on it takes.
+// execute returns the reply to a command after its service time.
 func execute(cmd redcon.Command) (reply []byte, healthCheck bool) {
 	switch name := strings.ToUpper(string(cmd.Args[0])); {
 	case name == resp.VerbPing:
 		return pongReply, true
 	case name == resp.VerbGet && len(cmd.Args) == getArguments, name == resp.VerbSet && len(cmd.Args) == setArguments:
-		elapsed, miss := workTime()
+		elapsed, miss := serviceTime()
 		time.Sleep(elapsed)
 		if miss {
 			return missReply, false
@@ -182,32 +182,32 @@
 }
 
 func (p *cachePort) countCommand(bytes int, healthCheck bool) {
-	p.updateCount(func(count *CacheCount) {
+	p.updateStats(func(stats *CacheStats) {
 		if healthCheck {
-			count.HealthChecks++
-			count.HealthCheckBytes += int64(bytes)
+			stats.HealthChecks++
+			stats.HealthCheckBytes += int64(bytes)
 		} else {
-			count.Attempts++
-			count.AttemptBytes += int64(bytes)
+			stats.Attempts++
+			stats.AttemptBytes += int64(bytes)
 		}
 	})
 }
 
-// Count is what each cache server got so far, by cache server and group.
-func (c *CacheServers) Count() [][]CacheCount {
-	counts := make([][]CacheCount, len(c.servers))
+// Stats returns the traffic of each cache server so far, by cache server and group.
+func (c *CacheServers) Stats() [][]CacheStats {
+	all := make([][]CacheStats, len(c.servers))
 	for i, server := range c.servers {
 		for _, port := range server.ports {
-			port.updateCount(func(count *CacheCount) { counts[i] = append(counts[i], *count) })
+			port.updateStats(func(stats *CacheStats) { all[i] = append(all[i], *stats) })
 		}
 	}
-	return counts
+	return all
 }
 
-// Wait waits until every connection has ended.
+// Wait waits until every connection is closed.
 func (c *CacheServers) Wait() { c.conns.Wait() }
 
-// Close takes no more connections.
+// Close stops accepting connections. Open connections are not closed.
 func (c *CacheServers) Close() {
 	for _, server := range c.servers {
 		for _, port := range server.ports {
--- a/internal/scaletest/cache_server_test.go
+++ b/internal/scaletest/cache_server_test.go
@@ -13,6 +13,8 @@
 	"marlstage/internal/resp"
 )
 
+// TestCacheServersReplyAndCount checks the addresses of the cache servers, their replies, the limit of
+// connections, and that the traffic of each group of routers is counted separately.
 func TestCacheServersReplyAndCount(t *testing.T) {
 	servers := startTestCacheServers(t, CacheServersSpec{First: 249, Count: 2, Groups: 2, MaxConns: 2, IdleTimeout: time.Minute})
 	if a, b := servers.Addrs[0][0], servers.Addrs[1][0]; !strings.HasPrefix(a, "127.77.0.250:") || !strings.HasPrefix(b, "127.77.1.1:") {
@@ -26,28 +28,28 @@
 		}
 	}
 	if reply := exchange(t, second, resp.AppendCommand(nil, "C.GET", "k")); string(reply.Raw) != "-SYNTAX\r\n" {
-		t.Errorf("half a command: %q", reply.Raw)
+		t.Errorf("incomplete command: %q", reply.Raw)
 	}
 	if n, err := dialCacheServer(t, servers.Addrs[0][0]).Read(make([]byte, 1)); err == nil {
-		t.Errorf("one connection too many read %d bytes", n)
+		t.Errorf("a connection beyond the limit read %d bytes", n)
 	}
-	counts := servers.Count()
-	want := CacheCount{HealthChecks: 1, Attempts: 2, Handshakes: 1, RejectedConns: 1, HealthCheckBytes: 21, AttemptBytes: int64(attemptBytes), OpenConns: 1}
-	if counts[0][0] != want {
-		t.Errorf("first group %+v, want %+v", counts[0][0], want)
+	stats := servers.Stats()
+	want := CacheStats{HealthChecks: 1, Attempts: 2, Handshakes: 1, RejectedConns: 1, HealthCheckBytes: 21, AttemptBytes: int64(attemptBytes), OpenConns: 1}
+	if stats[0][0] != want {
+		t.Errorf("first group %+v, want %+v", stats[0][0], want)
 	}
-	if c := counts[0][1]; c.HealthChecks != 1 || c.Attempts != 1 || c.Handshakes != 1 || counts[1][0] != (CacheCount{}) {
-		t.Errorf("second group %+v, other cache server %+v", c, counts[1][0])
+	if c := stats[0][1]; c.HealthChecks != 1 || c.Attempts != 1 || c.Handshakes != 1 || stats[1][0] != (CacheStats{}) {
+		t.Errorf("second group %+v, other cache server %+v", c, stats[1][0])
 	}
 	first.Close()
 	second.Close()
 	servers.Wait()
-	if counts := servers.Count()[0]; counts[0].OpenConns+counts[1].OpenConns != 0 {
-		t.Errorf("connections that have ended count: %+v", counts)
+	if stats := servers.Stats()[0]; stats[0].OpenConns+stats[1].OpenConns != 0 {
+		t.Errorf("closed connections are counted as open: %+v", stats)
 	}
 }
 
-// exchangeReadAndWrite returns the bytes of a read and a write with their replies.
+// exchangeReadAndWrite sends a read and a write and returns the size of both with their replies, in bytes.
 func exchangeReadAndWrite(t *testing.T, nc net.Conn) int {
 	t.Helper()
 	bytes := 0
--- a/internal/scaletest/descriptors.go
+++ b/internal/scaletest/descriptors.go
@@ -1,20 +1,21 @@
 package scaletest
 
-// This file implements a hollow router's budget of file descriptors.
+// This file limits the file descriptors of a hollow router.
 
 import "slices"
 
-// How a router shares out its file descriptors: some are reserved for what is not counted, and of
-// the rest this fraction may be connections to cache servers.
+// How a router divides its file descriptors: routerReservedDescriptors are kept for those that are not
+// counted, and serverShareNumerator/serverShareDenominator of the rest may be connections to cache
+// servers.
 const (
-	reservedDescriptors    = 48
-	serverShareNumerator   = 2
-	serverShareDenominator = 5
+	routerReservedDescriptors = 48
+	serverShareNumerator      = 2
+	serverShareDenominator    = 5
 )
 
-// takeDescriptor takes a descriptor for a connection. Where none is left, it closes the connection
-// that has been idle for longest, and reports false if there is none.
-func (h *hollowRouter) takeDescriptor() bool {
+// acquireDescriptor reserves a descriptor for a connection and reports whether it succeeded. If none is
+// left, it closes the connection that has been idle for longest; it fails if no connection is idle.
+func (h *hollowRouter) acquireDescriptor() bool {
 	if h.openConns >= h.maxConns && !h.closeLongestIdle() {
 		h.descriptorShortage = true
 		return false
@@ -39,8 +40,9 @@
 	return true
 }
 
-// returnDescriptor has the pools dispatch again if there was a shortage.
-func (h *hollowRouter) returnDescriptor() {
+// releaseDescriptor releases the descriptor of a closed connection. After a shortage, it schedules a
+// dispatch of every pool.
+func (h *hollowRouter) releaseDescriptor() {
 	h.openConns--
 	if !h.descriptorShortage {
 		return
--- a/internal/scaletest/fleet_test.go
+++ b/internal/scaletest/fleet_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// The fleet of the test below.
+// The fleet of TestFleetStatsMatchStandIns.
 const (
-	testServers      = 4
-	testActive       = 3
-	testRepresented  = 2 // by each active router
-	testWatchOnly    = 2
-	testRenewals     = 3 // of the live weights
-	testRequestQuota = 300
+	testServers       = 4
+	testActive        = 3
+	testRepresented   = 2 // routers represented by each active router
+	testWatchOnly     = 2
+	testWeightChanges = 3 // changes of the live weights
+	testRequestQuota  = 300
 )
 
-// testFleet is a fleet of hollow routers with its stand-ins.
+// testFleet is a fleet of hollow routers with its cache servers and discovery agent.
 type testFleet struct {
 	*Fleet
 	servers *CacheServers
 	agent   *DiscoveryAgent
-	applied chan int64 // versions of the endpoint lists that were applied
+	applied chan int64 // receives the version of each endpoint list that a router applies
 }
 
 func startTestFleet(t *testing.T) *testFleet {
@@ -55,58 +55,59 @@
 	return f
 }
 
-// renewWeights renews the live weights and waits until all routers have applied each new version.
-// It returns how many bytes of lists that takes at least.
-func (f *testFleet) renewWeights(t *testing.T) (bytes int) {
+// changeWeights changes the live weights testRenewals times and waits each time until all routers have
+// applied the new version. It returns the minimum size of the lists that this takes, in bytes.
+func (f *testFleet) changeWeights(t *testing.T) (bytes int) {
 	t.Helper()
-	for version := int64(2); version < 2+testRenewals; version++ {
-		f.agent.RenewWeights()
+	for version := int64(2); version < 2+testWeightChanges; version++ {
+		f.agent.ChangeWeights()
 		bytes += len(f.agent.deltas[0].body) * (testActive + testWatchOnly)
 		for n := 0; n < testActive+testWatchOnly; {
 			select {
 			case applied := <-f.applied:
-				if applied == version { // else a reply without changes
+				if applied == version { // otherwise the reply had no changes
 					n++
 				}
 			case <-time.After(testTimeout):
-				t.Fatalf("not all routers got version %d", version)
+				t.Fatalf("not all routers applied version %d", version)
 			}
 		}
 	}
 	return bytes
 }
 
-// TestFleetCountsMatchStandIns checks that what hollow routers send, by their count, is what arrives.
-func TestFleetCountsMatchStandIns(t *testing.T) {
+// TestFleetStatsMatchStandIns checks that the counters of the hollow routers agree with those of the cache
+// servers and the discovery agent. The results of a point are computed from both.
+func TestFleetStatsMatchStandIns(t *testing.T) {
 	f := startTestFleet(t)
-	listBytes := f.renewWeights(t)
+	listBytes := f.changeWeights(t)
 	select {
 	case <-f.Done:
 	case <-time.After(testTimeout):
-		t.Fatalf("the routers are not done: %+v", f.Count())
+		t.Fatalf("the routers are not done: %+v", f.Stats())
 	}
 	f.Drain()
 	f.servers.Wait()
-	count := f.Count()
-	f.checkServers(t, count)
-	if count.Requests < testRequestQuota*testActive || count.Served == 0 || count.Timers < count.Requests {
-		t.Errorf("requests %d, served %d, timers %d", count.Requests, count.Served, count.Timers)
+	stats := f.Stats()
+	f.checkServers(t, stats)
+	if stats.Requests < testRequestQuota*testActive || stats.Served == 0 || stats.Timers < stats.Requests {
+		t.Errorf("requests %d, served %d, timers %d", stats.Requests, stats.Served, stats.Timers)
 	}
-	f.checkDiscovery(t, count, int64(listBytes))
+	f.checkDiscovery(t, stats, int64(listBytes))
 }
 
-// checkServers compares the cache servers' counts with the simulated ones.
-func (f *testFleet) checkServers(t *testing.T, fleet FleetCount) {
+// checkServers compares the counters of the cache servers with those of the fleet.
+func (f *testFleet) checkServers(t *testing.T, fleet FleetStats) {
 	t.Helper()
-	var arrived CacheCount
-	for position, counts := range f.servers.Count() {
-		got, simulated := counts[0], fleet.CacheServers[position]
+	var arrived CacheStats
+	for position, stats := range f.servers.Stats() {
+		got, simulated := stats[0], fleet.CacheServers[position]
 		if simulated.HealthChecks < testActive || simulated.Attempts == 0 || simulated.Handshakes == 0 || simulated.OpenConns != 0 {
 			t.Errorf("cache server %d: simulated %+v", position, simulated)
 		}
 		if connected := position%2 == 0; !connected {
-			if got != (CacheCount{}) {
-				t.Errorf("cache server %d is not to be connected and got %+v", position, got)
+			if got != (CacheStats{}) {
+				t.Errorf("cache server %d must not be connected, but got %+v", position, got)
 			}
 			continue
 		}
@@ -117,10 +118,11 @@
 	}
 }
 
-// checkConnectedServer returns what is to have arrived, without the bytes: the fleet counts none.
-func checkConnectedServer(t *testing.T, position int, got, simulated CacheCount) CacheCount {
+// checkConnectedServer checks the traffic of a connected cache server. It returns the expected traffic
+// without bytes, which the fleet does not count.
+func checkConnectedServer(t *testing.T, position int, got, simulated CacheStats) CacheStats {
 	t.Helper()
-	want := CacheCount{
+	want := CacheStats{
 		HealthChecks: simulated.HealthChecks * (1 + testRepresented),
 		Attempts:     simulated.Attempts * (1 + testRepresented),
 		Handshakes:   simulated.Handshakes * (1 + testRepresented),
@@ -134,10 +136,10 @@
 	return want
 }
 
-// checkDiscovery compares the discovery agent's counts with those of the fleet.
-func (f *testFleet) checkDiscovery(t *testing.T, fleet FleetCount, minBytes int64) {
+// checkDiscovery compares the counters of the discovery agent with those of the fleet.
+func (f *testFleet) checkDiscovery(t *testing.T, fleet FleetStats, minBytes int64) {
 	t.Helper()
-	sent, endpoints := f.agent.Count()[0], int64(testServers*testRenewals*(testActive+testWatchOnly))
+	sent, endpoints := f.agent.Stats()[0], int64(testServers*testWeightChanges*(testActive+testWatchOnly))
 	if sent.Endpoints != endpoints || fleet.Endpoints != endpoints || sent.BytesOut < fleet.DiscoveryBytes || fleet.DiscoveryBytes < minBytes {
 		t.Errorf("discovery sent %d endpoints in %d bytes, the fleet got %d in %d; want %d in %d or more",
 			sent.Endpoints, sent.BytesOut, fleet.Endpoints, fleet.DiscoveryBytes, endpoints, minBytes)
--- a/internal/scaletest/sample.go
+++ b/internal/scaletest/sample.go
@@ -1,28 +1,28 @@
 package scaletest
 
-// This file reads the counters of every process at one moment.
+// This file reads the counters of all processes.
 
 import (
 	"errors"
 	"time"
 )
 
-// sample is what everything had done by one moment.
+// sample holds the counters of all processes at one time.
 type sample struct {
-	at           time.Time
-	cacheServers [][]CacheCount // by cache server and group
-	discovery    []DiscoveryCount
-	fleet        FleetCount
-	clients      [groupCount]ClientCount // since the sample before
+	takenAt      time.Time
+	cacheServers [][]CacheStats // by cache server and group
+	discovery    []DiscoveryStats
+	fleet        FleetStats
+	clients      [groupCount]ClientStats // since the previous sample
 	routers      [groupCount]usage
 	standIns     standInUsage
 }
 
-// standInUsage is what the processes of the stand-ins have used.
+// standInUsage is the resource usage of the processes of the stand-ins.
 type standInUsage struct{ cacheServers, discovery, fleet usage }
 
 func (t *testbed) takeSample() (*sample, error) {
-	s := &sample{at: time.Now()}
+	s := &sample{takenAt: time.Now()}
 	err := errors.Join(
 		t.sampleRealRouters(s),
 		t.sampleCacheServers(s),
@@ -37,7 +37,7 @@
 	for group := firstRealGroup; group < groupCount; group++ {
 		errs = append(errs, s.routers[group].add(t.routers[group]))
 		if t.clients[group] != nil {
-			s.clients[group] = t.clients[group].TakeCount()
+			s.clients[group] = t.clients[group].TakeStats()
 		}
 	}
 	return errors.Join(errs...)
@@ -46,9 +46,9 @@
 func (t *testbed) sampleCacheServers(s *sample) error {
 	var errs []error
 	for _, p := range t.cacheServers {
-		var counts [][]CacheCount
-		errs = append(errs, p.do(commandCount, &counts), s.standIns.cacheServers.add(p))
-		s.cacheServers = append(s.cacheServers, counts...)
+		var stats [][]CacheStats
+		errs = append(errs, p.do(commandCount, &stats), s.standIns.cacheServers.add(p))
+		s.cacheServers = append(s.cacheServers, stats...)
 	}
 	return errors.Join(errs...)
 }
@@ -60,9 +60,9 @@
 func (t *testbed) sampleFleets(s *sample) error {
 	var errs []error
 	for _, p := range t.fleets {
-		var count FleetCount
-		errs = append(errs, p.do(commandCount, &count), s.standIns.fleet.add(p))
-		s.fleet.add(count)
+		var stats FleetStats
+		errs = append(errs, p.do(commandCount, &stats), s.standIns.fleet.add(p))
+		s.fleet.add(stats)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/scaletest/simulated_conn.go
+++ b/internal/scaletest/simulated_conn.go
@@ -9,23 +9,24 @@
 	"marlstage/policy"
 )
 
-// pingTime is how long a simulated cache server takes for a health check.
+// pingTime is the time that a simulated cache server takes to answer a health check.
 const pingTime = 100 * time.Microsecond
 
-// mirrorQueueSize is how many messages may wait for one mirror. Further ones count as failures.
+// mirrorQueueSize is the number of messages that may wait for one mirror. Further ones are dropped and
+// counted as failures.
 const mirrorQueueSize = 64
 
-// simulatedConn is a connection that carries nothing itself. Its mirrors, if any, send on sockets
-// what it would have carried.
+// simulatedConn is a simulated connection of a hollow router to a cache server. It sends nothing itself;
+// its mirrors, if any, send its messages on sockets.
 type simulatedConn struct {
 	pool      *pool
 	idleSince policy.Time
-	attempt   *attempt // the one that awaits its reply
+	attempt   *attempt // waiting for its reply; nil if there is none
 	closed    bool
-	mirrors   []chan mirroredMessage
+	mirrors   []chan mirroredMessage // one for each mirror
 }
 
-// startMirrors opens a socket for the router itself and for each one that it represents.
+// startMirrors starts a mirror for the router itself and for each router that it represents.
 func (c *simulatedConn) startMirrors() {
 	f := c.pool.router.fleet
 	for _, delay := range c.pool.router.mirrorDelays {
@@ -36,18 +37,18 @@
 	}
 }
 
-// carry sends an attempt, which is answered after the time that a cache server works on it.
-func (c *simulatedConn) carry(a *attempt) {
+// send sends an attempt and schedules its reply after the simulated service time.
+func (c *simulatedConn) send(a *attempt) {
 	p, h := c.pool, c.pool.router
 	c.attempt, a.conn = a, c
 	message := mirroredMessage{sentAt: time.Now(), healthCheck: a.isHealthCheck()}
 	elapsed, miss := pingTime, false
 	if a.isHealthCheck() {
-		p.count.HealthChecks++
+		p.stats.HealthChecks++
 		message.bytes = resp.AppendPing(nil)
 	} else {
-		p.count.Attempts++
-		elapsed, miss = workTime()
+		p.stats.Attempts++
+		elapsed, miss = serviceTime()
 		if p.connected {
 			message.bytes = a.command(h.now)
 		}
@@ -67,7 +68,7 @@
 		select {
 		case messages <- message:
 		default:
-			f.locked(func() { f.mirrorFailures++ })
+			f.withLock(func() { f.mirrorFailures++ })
 		}
 	}
 }
@@ -77,6 +78,6 @@
 	for _, messages := range c.mirrors {
 		close(messages)
 	}
-	c.pool.count.OpenConns--
-	c.pool.router.returnDescriptor()
+	c.pool.stats.OpenConns--
+	c.pool.router.releaseDescriptor()
 }
--- a/internal/scaletest/slopes.go
+++ b/internal/scaletest/slopes.go
@@ -1,6 +1,6 @@
 package scaletest
 
-// This file fits the growth of figures with the size of the fleet.
+// This file fits lines to the growth of figures with the size of the fleet.
 
 import (
 	"bytes"
@@ -11,12 +11,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Slope is how a figure grows with the size of the fleet, by least squares.
+// Slope is a line that is fitted by least squares to a figure as a function of a size of the fleet.
 type Slope struct {
 	Role          string  `json:"role"`
 	Name          string  `json:"name"`
 	Unit          string  `json:"unit"`
-	Over          string  `json:"over"` // what it grows with
+	Over          string  `json:"over"` // the size that the figure grows with
 	Slope         float64 `json:"slope"`
 	StandardError float64 `json:"standard_error"` // of the slope
 	Intercept     float64 `json:"intercept"`
@@ -24,25 +24,25 @@
 	Points        int     `json:"points"`
 }
 
-// fleetSize is a size of the fleet with which figures grow.
-type fleetSize struct {
-	name string
-	of   func(*Result) float64
+// sizeVariable is a size of the fleet that figures grow with.
+type sizeVariable struct {
+	name  string
+	value func(*Result) float64
 }
 
 var (
-	byCacheServers = fleetSize{"cache", cacheServerCount}
-	byRouters      = fleetSize{"router", routerCount}
-	byPairs        = fleetSize{"cache and router", func(r *Result) float64 { return cacheServerCount(r) * routerCount(r) }}
+	byCacheServers = sizeVariable{"cache", cacheServerCount}
+	byRouters      = sizeVariable{"router", routerCount}
+	byPairs        = sizeVariable{"cache and router", func(r *Result) float64 { return cacheServerCount(r) * routerCount(r) }}
 )
 
 func cacheServerCount(r *Result) float64 { return float64(r.CacheServers) }
 func routerCount(r *Result) float64      { return float64(r.Routers) }
 
-// slopeFigures are the figures of control, with what they grow with.
+// slopeFigures lists the figures of the control traffic and the size that each grows with.
 var slopeFigures = []struct {
 	role, name string
-	size       fleetSize
+	size       sizeVariable
 }{
 	{roleControl, figureProcessorTime, byCacheServers},
 	{roleControl, figureMemory, byCacheServers},
@@ -61,11 +61,12 @@
 	{roleDiscoveryOfFleet, figureListBytes, byPairs},
 }
 
-// minSlopePoints is how many points a standard error takes.
+// minSlopePoints is the minimum number of points that define a standard error.
 const minSlopePoints = 3
 
-// Slopes fits the figures of control to the sizes of the points. It takes three sizes at least.
-func Slopes(points []*Result) []Slope {
+// FitSlopes fits a line to each figure of the control traffic. It returns none for fewer than three points,
+// and omits figures whose size is the same at all points.
+func FitSlopes(points []*Result) []Slope {
 	var slopes []Slope
 	if len(points) < minSlopePoints {
 		return slopes
@@ -73,7 +74,7 @@
 	for _, f := range slopeFigures {
 		var sizes, values []float64
 		for _, r := range points {
-			sizes = append(sizes, f.size.of(r))
+			sizes = append(sizes, f.size.value(r))
 			values = append(values, r.Value(f.role, f.name))
 		}
 		if stat.Variance(sizes, nil) <= 0 {
@@ -99,7 +100,7 @@
 	}
 	r2 := stat.RSquared(x, y, nil, intercept, slope)
 	if math.IsNaN(r2) {
-		r2 = 0 // all values are the same
+		r2 = 0 // it is undefined if all values are the same
 	}
 	n := float64(len(x))
 	return Slope{
@@ -111,7 +112,7 @@
 	}
 }
 
-// WriteSlopes writes slopes for people.
+// WriteSlopes writes the slopes as a table.
 func WriteSlopes(out io.Writer, slopes []Slope) error {
 	var text, rows bytes.Buffer
 	fmt.Fprintln(&text, "\nslopes by least squares, with their standard errors")
--- a/internal/scaletest/worker.go
+++ b/internal/scaletest/worker.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// RoleEnv is the environment variable that makes a process of this program a worker.
+// RoleEnv is the environment variable that, if it is set, makes a process of this program a worker.
 const RoleEnv = "SCALETEST_ROLE"
 
-// role says what a worker runs: one of these.
-type role struct {
+// workerSpec configures a worker. Exactly one field is set.
+type workerSpec struct {
 	CacheServers *CacheServersSpec
 	Discovery    *discoverySpec
 	Fleet        *FleetSpec
 }
 
-// discoverySpec says what the discovery agent of a run is.
+// discoverySpec configures the discovery agent of a run.
 type discoverySpec struct {
-	Addrs           [][]string // of the cache servers, by cache server and group
-	Groups          int
-	RestartInterval time.Duration // 0 for never
+	Addrs           [][]string    // of the cache servers, by cache server and group
+	Groups          int           // number of groups of routers
+	RestartInterval time.Duration // time in which one cache server is listed as restarted; 0 for never
 }
 
-// discoveryReady is the reply of a discovery agent at its start, by group.
+// discoveryReady is the first reply of a discovery agent, by group of routers.
 type discoveryReady struct {
 	Addrs     []string
 	Endpoints []json.RawMessage // the endpoint list
 }
 
-// workerCommand is a command to a worker. The reply is what the worker has counted.
+// workerCommand is a command to a worker. The worker replies with its counters.
 type workerCommand string
 
 const (
@@ -42,23 +42,23 @@
 	commandDiscoveryUp   workerCommand = "up"
 )
 
-// worker runs one role.
+// worker runs one of the stand-ins.
 type worker interface {
-	// ready is the reply to the role, once the worker is ready.
+	// ready returns the first reply, which says that the worker is ready.
 	ready() any
-	// handle returns the reply to a command.
+	// handle executes a command and returns the reply.
 	handle(command workerCommand) any
 }
 
-// Serve runs a worker: it reads a role and then commands from in, and replies to each on out, until
-// in ends.
-func Serve(in io.Reader, out io.Writer) error {
+// RunWorker runs a worker. It reads a workerSpec and then commands from in, and replies to each on out,
+// until in is closed.
+func RunWorker(in io.Reader, out io.Writer) error {
 	decoder, encoder := json.NewDecoder(in), json.NewEncoder(out)
-	var r role
-	if err := decoder.Decode(&r); err != nil {
+	var spec workerSpec
+	if err := decoder.Decode(&spec); err != nil {
 		return err
 	}
-	w, err := newWorker(r)
+	w, err := newWorker(spec)
 	if err != nil {
 		return err
 	}
@@ -79,22 +79,22 @@
 	}
 }
 
-func newWorker(r role) (worker, error) {
+func newWorker(spec workerSpec) (worker, error) {
 	switch {
-	case r.CacheServers != nil:
-		servers, err := StartCacheServers(*r.CacheServers)
+	case spec.CacheServers != nil:
+		servers, err := StartCacheServers(*spec.CacheServers)
 		return cacheServersWorker{servers}, err
-	case r.Discovery != nil:
-		return startDiscoveryWorker(*r.Discovery)
+	case spec.Discovery != nil:
+		return startDiscoveryWorker(*spec.Discovery)
 	default:
-		return startFleetWorker(*r.Fleet)
+		return startFleetWorker(*spec.Fleet)
 	}
 }
 
 type cacheServersWorker struct{ servers *CacheServers }
 
 func (w cacheServersWorker) ready() any               { return w.servers.Addrs }
-func (w cacheServersWorker) handle(workerCommand) any { return w.servers.Count() }
+func (w cacheServersWorker) handle(workerCommand) any { return w.servers.Stats() }
 
 type discoveryWorker struct {
 	agent  *DiscoveryAgent
@@ -106,9 +106,9 @@
 	if err != nil {
 		return nil, err
 	}
-	go agent.KeepRenewingWeights()
+	go agent.SimulateWeightChanges()
 	if spec.RestartInterval > 0 {
-		go agent.KeepRestarting(spec.RestartInterval)
+		go agent.SimulateRestarts(spec.RestartInterval)
 	}
 	return discoveryWorker{agent: agent, groups: spec.Groups}, nil
 }
@@ -125,13 +125,13 @@
 	if command != commandCount {
 		w.agent.SetDown(command == commandDiscoveryDown)
 	}
-	return w.agent.Count()
+	return w.agent.Stats()
 }
 
 type fleetWorker struct{ fleet *Fleet }
 
-// fleetGCPercent has the garbage collector run seldom: there is enough memory, but not enough
-// processor time.
+// fleetGCPercent makes the garbage collector run less often than by default (100), because processor
+// time is scarcer than memory here.
 const fleetGCPercent = 400
 
 func startFleetWorker(spec FleetSpec) (worker, error) {
@@ -141,4 +141,4 @@
 }
 
 func (w fleetWorker) ready() any               { return len(w.fleet.routers) }
-func (w fleetWorker) handle(workerCommand) any { return w.fleet.Count() }
+func (w fleetWorker) handle(workerCommand) any { return w.fleet.Stats() }
