--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -11,19 +11,19 @@
 	cancelled       bool // a Cancel was sent for it
 	neverRan        bool // its result proves that the cache did not carry it out
 	connectionReset bool // the connection was lost before the reply was complete
-	harmless        bool // it ended in a network fault, or was rejected while this router's load was low
+	freeRetry       bool // it ended in a network fault, or was rejected while this router's load was low
 }
 
 // outcome is the result of an attempt, with its evaluation by this router.
 type outcome struct {
 	*AttemptDone
-	request     *request
-	attempt     *attempt
-	latency     Time // as measured by this router
-	inObjective bool // it was served within the latency objective
-	timely      bool // it was served before it counted as overdue
-	fetched     bool // a likely miss was served before it counted against the origin
-	overloaded  bool // it was rejected for overload
+	request         *request
+	attempt         *attempt
+	latency         Time // as measured by this router
+	withinObjective bool // it was served within the latency objective
+	timely          bool // it was served before it counted as overdue
+	missInTime      bool // a likely miss was served before it counted against the origin
+	overloaded      bool // it was rejected for overload
 }
 
 // sendAttempt sends the next attempt of a request to the cache.
@@ -41,23 +41,23 @@
 	c.inFlight++
 	c.attemptsSent++
 	e.attemptsSent++
-	e.changeRecent(c, func() { c.recentAttempts.Add(e.now, e.settings.OverloadTime) })
+	e.updateRecentAttempts(c, func() { c.recentAttempts.Add(e.now, e.settings.OverloadTime) })
 	c.lastSentAt = e.now
 	if c.connectFailures >= connectFailureThreshold {
-		e.delayTrial(c)
+		e.postponeTrial(c)
 	}
-	c.zone.halfOpenAt = e.zoneTrialAt()
-	e.emit(Send{ID: req.ID, Cache: c.ID, Deadline: req.Deadline, StartBefore: req.repeatDeadline(n)})
-	e.watchAttempt(req, n)
+	c.zone.halfOpenAt = e.zoneTrialTime()
+	e.emit(Send{ID: req.ID, Cache: c.ID, Deadline: req.Deadline, StartBefore: req.startDeadline(n)})
+	e.scheduleAttemptTimers(req, n)
 }
 
-// watchAttempt sets the timers by which attempt n counts as late or overdue.
-func (e *Engine) watchAttempt(req *request, n int) {
+// scheduleAttemptTimers sets the timers by which attempt n counts as late or overdue.
+func (e *Engine) scheduleAttemptTimers(req *request, n int) {
 	if e.sparseTraffic() {
 		e.schedule(min(e.now+req.class.LatencyObjective, req.Deadline-1), func() {
 			a := &req.attempts[n]
-			excused := a.likelyMiss && e.lastTimelyHitAt > a.sentAt && e.fleetWarmingUp()
-			if a.pending && !excused {
+			exempt := a.likelyMiss && e.lastTimelyHitAt > a.sentAt && e.fleetWarmingUp()
+			if a.pending && !exempt {
 				e.updateAdmission(false)
 			}
 		})
@@ -65,19 +65,19 @@
 	e.schedule(e.now+e.latencyThresholdAt(req.attempts[n].cache, req.class), func() {
 		if a := &req.attempts[n]; a.pending {
 			a.cache.suspect = a.cache.suspect || a.cache.lastReplyAt <= a.sentAt
-			e.attemptOverdue(req, n)
+			e.handleOverdueAttempt(req, n)
 			e.hedge(req, n)
 		}
 	})
 }
 
-// attemptDone handles the end of an attempt.
-func (e *Engine) attemptDone(ev *AttemptDone) {
+// handleAttemptDone handles the end of an attempt.
+func (e *Engine) handleAttemptDone(ev *AttemptDone) {
 	req := e.requests[ev.ID]
 	if req == nil || ev.Attempt < 0 || ev.Attempt >= len(req.attempts) || !req.attempts[ev.Attempt].pending {
 		return
 	}
-	o := e.judge(req, ev)
+	o := e.evaluate(req, ev)
 	e.recordResult(&o)
 	if c := o.attempt.cache; c.inFlight == 0 && e.shouldCloseIdle(c) {
 		e.emit(CloseIdleConnections{c.ID})
@@ -97,8 +97,8 @@
 	e.dispatchQueued()
 }
 
-// judge evaluates the result of an attempt.
-func (e *Engine) judge(req *request, ev *AttemptDone) outcome {
+// evaluate evaluates the result of an attempt.
+func (e *Engine) evaluate(req *request, ev *AttemptDone) outcome {
 	a := &req.attempts[ev.Attempt]
 	o := outcome{AttemptDone: ev, request: req, attempt: a, latency: e.now - a.sentAt}
 	missLimit := e.missLatencyLimit(req, a.cache)
@@ -106,9 +106,9 @@
 	if e.sparseTraffic() && ev.Miss {
 		limit = missLimit // otherwise limits could hardly rise where nearly half of the attempts are misses
 	}
-	o.inObjective = ev.Result == Served && o.latency < req.class.LatencyObjective
+	o.withinObjective = ev.Result == Served && o.latency < req.class.LatencyObjective
 	o.timely = ev.Result == Served && o.latency < limit
-	o.fetched = ev.Result == Served && a.likelyMiss && o.latency < missLimit
+	o.missInTime = ev.Result == Served && a.likelyMiss && o.latency < missLimit
 	// With fewer attempts in flight, a rejection is no sign of overload. If it counted as one, a cache that
 	// pauses would never regain its traffic.
 	o.overloaded = ev.Result == Rejected && float64(a.cache.inFlight) > e.initialLimit(a.cache)
@@ -121,7 +121,7 @@
 	a.pending, a.neverRan = false, o.Result.NeverRan()
 	a.connectionReset = o.Result == ConnectionLost
 	networkFault := a.connectionReset || o.Result == ConnectFailed
-	a.harmless = networkFault || o.Result == Rejected && !o.overloaded
+	a.freeRetry = networkFault || o.Result == Rejected && !o.overloaded
 	c.suspect = c.suspect || networkFault || o.Result == ServerError
 	c.inFlight--
 	if a.likelyMiss {
@@ -130,16 +130,16 @@
 	e.updateGoodput(a, o.request, o.Result)
 	spent := o.latency
 	if o.Result == Rejected {
-		e.changeRecent(c, func() { c.recentRejections.Add(e.now, e.settings.OverloadTime) })
+		e.updateRecentAttempts(c, func() { c.recentRejections.Add(e.now, e.settings.OverloadTime) })
 		spent = max(spent, e.latencyThreshold) // otherwise the next attempt would follow a quick rejection at once
 	}
-	c.timeTokens, c.timeTokensAt = e.availableTime(c)-float64(spent), e.now
+	c.timeTokens, c.timeTokensAt = e.availableTimeTokens(c)-float64(spent), e.now
 	switch o.Result {
 	case Served, ServerError, Rejected:
 		c.lastReplyAt = e.now
-		e.noteConnect(c, true)
+		e.recordConnect(c, true)
 	case ConnectFailed:
-		e.noteConnect(c, false)
+		e.recordConnect(c, false)
 	}
 	if c.ejected && o.Result == Served {
 		c.ejected = false
@@ -152,13 +152,13 @@
 func (e *Engine) updateLimits(o *outcome) {
 	c := o.attempt.cache
 	failed := o.Result == ServerError
-	if failed || o.fetched && float64(e.missesInFlight+1) > e.originLimit/2 {
-		e.adjustOriginLimit(o.fetched)
+	if failed || o.missInTime && float64(e.missesInFlight+1) > e.originLimit/2 {
+		e.adjustOriginLimit(o.missInTime)
 	}
 	if o.overloaded || o.Result == ConnectFailed || o.timely && float64(c.inFlight+1) > c.concurrencyLimit/2 {
 		e.adjustAllLimits(o.timely)
 		e.adjustCacheLimit(c, o.timely)
-	} else if o.inObjective && c.concurrencyLimit < e.routerShare() {
+	} else if o.withinObjective && c.concurrencyLimit < e.routerShare() {
 		e.adjustCacheLimit(c, true)
 	}
 	if o.attempt.likelyMiss && (o.Result == Served || failed) {
@@ -173,7 +173,7 @@
 func (e *Engine) recordServed(o *outcome) {
 	c := o.attempt.cache
 	c.recentKeys.Add(o.request.Key)
-	if e.sparseTraffic() && o.inObjective {
+	if e.sparseTraffic() && o.withinObjective {
 		e.updateAdmission(true)
 	}
 	if !o.Miss {
@@ -182,8 +182,8 @@
 	if o.timely && !o.Miss {
 		e.lastTimelyHitAt = e.now
 	}
-	c.lastHitOnTime = c.lastHitOnTime || o.timely && !o.attempt.likelyMiss
-	if o.fetched && o.Miss {
+	c.lastLikelyHitInTime = c.lastLikelyHitInTime || o.timely && !o.attempt.likelyMiss
+	if o.missInTime && o.Miss {
 		e.lastOriginReplyAt = e.now
 	}
 }
--- a/policy/cache.go
+++ b/policy/cache.go
@@ -28,17 +28,17 @@
 	unconfirmedChecks int  // consecutive checks as a suspect that confirmed no fault
 	ejected           bool // it was silent for too long, and has not served a request since
 
-	inFlight         int     // attempts in flight, including those of finished requests
-	concurrencyLimit float64 // limit of this router; below one, the share of time that attempts may take
-	timeTokens       float64 // time earned under a limit below one, as of timeTokensAt
-	timeTokensAt     Time
-	attemptsSent     int // in all, for as long as the cache has been known
-	recentAttempts   stats.FadingCount
-	recentRejections stats.FadingCount // those of the recent attempts that were rejected
-	lastSentAt       Time
-	lastReplyAt      Time
-	lastHitOnTime    bool           // it served the last likely hit in time
-	hitLatency       stats.Quantile // latency of its quicker hits, in microseconds
+	inFlight            int     // attempts in flight, including those of finished requests
+	concurrencyLimit    float64 // limit of this router; below one, the share of time that attempts may take
+	timeTokens          float64 // time earned under a limit below one, as of timeTokensAt
+	timeTokensAt        Time
+	attemptsSent        int // in all, for as long as the cache has been known
+	recentAttempts      stats.FadingCount
+	recentRejections    stats.FadingCount // those of the recent attempts that were rejected
+	lastSentAt          Time
+	lastReplyAt         Time
+	lastLikelyHitInTime bool           // it served the last likely hit in time
+	hitLatency          stats.Quantile // latency of its quicker hits, in microseconds
 
 	recentKeys         stats.KeySet // keys that it served recently, so that they are likely cached
 	loadPerCore        float64      // requests per core, from the endpoint list
@@ -47,7 +47,7 @@
 }
 
 func newCache(id string) *cache {
-	c := &cache{hash: splitmix.String(id), lastHitOnTime: true}
+	c := &cache{hash: splitmix.String(id), lastLikelyHitInTime: true}
 	c.reset()
 	return c
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -12,10 +12,10 @@
 	maxBackoffDoublings      = 6         // doublings of a backoff
 	minPollInterval     Time = 1_000_000 // lower bound of Settings.PollInterval for the backoff
 	pollBackoffDivisor       = 40        // divides the poll interval to give the start of the backoff
-	pollAllowance       Time = 1_000_000 // time that a poll may take
+	maxPollTime         Time = 1_000_000 // time that a poll may take
 	minListedWeight          = 1e-3      // lower bound of the listed weight, so that the load stays finite
 
-	pollFailureLineInterval Time = 10_000_000 // least time between log lines about failed polls
+	pollFailureLogInterval Time = 10_000_000 // least time between log lines about failed polls
 )
 
 func (e *Engine) pollEndpoints() {
@@ -41,7 +41,7 @@
 		added = added || c.State == InService && c.concurrencyLimit == 0
 	}
 	if len(ev.Endpoints) > 0 || ev.Kind != UpdateDelta {
-		e.fleetChanged(added)
+		e.updateFleet(added)
 	}
 	if !e.started {
 		e.started = true
@@ -62,15 +62,15 @@
 	}
 	for _, c := range slices.Clone(e.inService) {
 		if c.State != InService {
-			e.leaveService(c)
+			e.removeFromService(c)
 		}
 	}
 }
 
-// fleetChanged updates the state that depends on all caches. added says that some caches have no limits yet.
-func (e *Engine) fleetChanged(added bool) {
+// updateFleet updates the state that depends on all caches. added says that some caches have no limits yet.
+func (e *Engine) updateFleet(added bool) {
 	e.rankingVersion++
-	e.sums.known = false
+	e.sums.valid = false
 	mean := 0.0
 	for _, c := range e.inService {
 		mean += c.Weight / float64(len(e.inService))
@@ -92,11 +92,11 @@
 	}
 	// Discovery may be reachable again. The next poll must end before the router counts as notified of a
 	// change.
-	untilDeadline := NotificationTimeout - pollAllowance - (e.now - e.polledAt)
-	wait = min(wait, float64(max(untilDeadline, pollAllowance/2)))
+	untilNotified := NotificationTimeout - maxPollTime - (e.now - e.polledAt)
+	wait = min(wait, float64(max(untilNotified, maxPollTime/2)))
 	e.schedule(e.now+Time(e.rng.Jitter(wait)), e.pollEndpoints)
-	if e.failedPolls == 1 && e.now >= e.nextPollFailureLine {
-		e.nextPollFailureLine = e.now + pollFailureLineInterval
+	if e.failedPolls == 1 && e.now >= e.nextPollFailureLog {
+		e.nextPollFailureLog = e.now + pollFailureLogInterval
 		e.logf("endpoint list poll failed failed_polls=%d", e.failedPolls)
 	}
 }
@@ -131,11 +131,11 @@
 	e.zones[endpoint.Zone] = c.zone
 	// A start time in the future, or an older one listed again, must not change the length of the slow start.
 	startedAt := min(endpoint.StartedAt, e.now)
-	coldAgain := restarted && endpoint.StartedAt > 0 && startedAt > c.warmupFrom
-	if coldAgain {
+	warmupRestarted := restarted && endpoint.StartedAt > 0 && startedAt > c.warmupFrom
+	if warmupRestarted {
 		c.warmupFrom, c.warmAt = startedAt, startedAt+e.settings.WarmupTime
 	}
-	e.regroup(c, coldAgain)
+	e.regroup(c, warmupRestarted)
 	return c
 }
 
@@ -144,7 +144,7 @@
 	for _, c := range e.inService {
 		if c.concurrencyLimit == 0 {
 			c.concurrencyLimit = e.initialLimit(c)
-			saved := maxSavedTimeShare * e.rng.Float64() // so that routers that start together do not send together
+			saved := maxTimeTokenShare * e.rng.Float64() // so that routers that start together do not send together
 			c.timeTokens, c.timeTokensAt = saved*float64(e.latencyThreshold), e.now
 		}
 	}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -36,23 +36,23 @@
 	failedPolls int               // consecutive failed polls of the endpoint list
 	polledAt    Time              // start of the last poll, or the last update
 
-	nextPollFailureLine Time // failed polls are not logged before this
+	nextPollFailureLog Time // failed polls are not logged before this
 
 	checkRound         int     // number of the last round of health checks
 	healthCheckBudget  float64 // health checks earned by requests since the last round
 	skippedIntervals   int     // health check intervals since the last round
 	requestsInInterval int     // since the last health check interval began
-	lastChecked        string  // ID of the cache after which the next round continues; empty for a new round
-
-	requests       map[int64]*request
-	queue          []*request                 // requests that wait for capacity, in the order of arrival
-	rankingVersion int                        // incremented when rankings may change
-	ranking        partialsort.Lowest[*cache] // results of the last search, kept to reuse the memory
-	unreached      partialsort.Lowest[*cache] // the same for caches with open circuits
-	keyCounts      stats.KeyCounts            // requests by key
-	requestCounts  stats.WindowCount
-	attemptsSent   int     // since the engine started
-	retryBudget    float64 // tokens for retries and hedges
+	resumeChecksAfter  string  // ID of the cache after which the next round continues; empty for a new round
+
+	requests          map[int64]*request
+	queue             []*request                 // requests that wait for capacity, in the order of arrival
+	rankingVersion    int                        // incremented when rankings may change
+	lowestScores      partialsort.Lowest[*cache] // results of the last search, kept to reuse the memory
+	lowestUnreachable partialsort.Lowest[*cache] // the same for caches with open circuits
+	keyCounts         stats.KeyCounts            // requests by key
+	requestCounts     stats.WindowCount
+	attemptsSent      int     // since the engine started
+	retryBudget       float64 // tokens for retries and hedges
 
 	missesInFlight    int     // likely misses in flight
 	originLimit       float64 // concurrency limit of likely misses
@@ -63,13 +63,13 @@
 
 	admissionRatio   float64 // share of admitted keys, as of admissionRatioAt
 	admissionRatioAt Time
-	shedByCaches     int  // requests of the current window that were shed for lack of capacity of caches
-	shedByOrigin     int  // requests of the current window that were shed for lack of capacity of the origin
+	shedCacheFull    int  // requests of the current window that were shed for lack of capacity of caches
+	shedOriginFull   int  // requests of the current window that were shed for lack of capacity of the origin
 	shedding         bool // requests were shed in the last window
 
 	routerDelay      Time    // last reported delay of requests on this router
 	routerDelayUntil Time    // when routerDelay ceases to apply
-	behindReports    int     // consecutive reports of an overload of this router
+	overloadReports  int     // consecutive reports of an overload of this router
 	requestLimit     float64 // limit on requests per second; 0 means no limit
 }
 
@@ -99,14 +99,14 @@
 // Handle processes one event and returns the actions to carry out, in order.
 func (e *Engine) Handle(now Time, ev Event) []Action {
 	e.now, e.actions = now, nil
-	e.settleWarmedUp()
+	e.regroupWarmedUp()
 	switch ev := ev.(type) {
 	case *EndpointsUpdate:
 		e.updateEndpoints(ev)
 	case *Request:
 		e.handleRequest(ev)
 	case *AttemptDone:
-		e.attemptDone(ev)
+		e.handleAttemptDone(ev)
 	case *ResponseStarted:
 		if req := e.requests[ev.ID]; req != nil {
 			req.streaming = true
@@ -118,9 +118,9 @@
 	case *TimerFired:
 		e.timers.Call(ev.Token)
 	case *HealthCheckDone:
-		e.healthCheckDone(ev)
+		e.handleHealthCheckDone(ev)
 	case *DelayReport:
-		e.delayReported(ev)
+		e.handleDelayReport(ev)
 	}
 	return e.actions
 }
@@ -148,11 +148,11 @@
 func (e *Engine) rotateCounts() {
 	e.keyCounts.Rotate()
 	e.requestCounts.Rotate()
-	if active := e.shedByCaches+e.shedByOrigin > 0; active != e.shedding {
+	if active := e.shedCacheFull+e.shedOriginFull > 0; active != e.shedding {
 		e.shedding = active
-		e.logf("load shedding active=%t cache_full=%d origin_full=%d", active, e.shedByCaches, e.shedByOrigin)
+		e.logf("load shedding active=%t cache_full=%d origin_full=%d", active, e.shedCacheFull, e.shedOriginFull)
 	}
-	e.shedByCaches, e.shedByOrigin = 0, 0
+	e.shedCacheFull, e.shedOriginFull = 0, 0
 	e.schedule(e.now+2*e.countWindow(), e.rotateCounts)
 }
 
--- a/policy/groups.go
+++ b/policy/groups.go
@@ -97,7 +97,7 @@
 // regroup moves a cache to the group that it now belongs to. restarted says that its start time has changed.
 func (e *Engine) regroup(c *cache, restarted bool) {
 	if c.State != InService {
-		e.leaveService(c)
+		e.removeFromService(c)
 		return
 	}
 	key := e.groupKeyOf(c)
@@ -105,9 +105,9 @@
 		group.maxWeight = max(group.maxWeight, c.Weight)
 		return
 	}
-	e.leaveGroup(c)
+	e.removeFromGroup(c)
 	e.groups.add(c, key)
-	if c.isWarmMember() {
+	if c.inWarmGroup() {
 		e.warmLoad.Adjust(e.now, e.settings.OverloadTime, e.recentlyAccepted(c))
 	}
 	if i, found := e.findInService(c.ID); !found {
@@ -115,17 +115,17 @@
 	}
 }
 
-// leaveService removes a cache from those in service, if it is one of them.
-func (e *Engine) leaveService(c *cache) {
-	e.leaveGroup(c)
+// removeFromService removes a cache from those in service, if it is one of them.
+func (e *Engine) removeFromService(c *cache) {
+	e.removeFromGroup(c)
 	if i, found := e.findInService(c.ID); found {
 		e.inService = slices.Delete(e.inService, i, i+1)
 	}
 }
 
-// leaveGroup removes a cache from its group and, if it counted as warm, its attempts from warmLoad.
-func (e *Engine) leaveGroup(c *cache) {
-	if c.isWarmMember() {
+// removeFromGroup removes a cache from its group and, if it counted as warm, its attempts from warmLoad.
+func (e *Engine) removeFromGroup(c *cache) {
+	if c.inWarmGroup() {
 		e.warmLoad.Adjust(e.now, e.settings.OverloadTime, -e.recentlyAccepted(c))
 	}
 	e.groups.remove(c)
@@ -137,11 +137,11 @@
 	return slices.BinarySearchFunc(e.inService, id, byID)
 }
 
-// isWarmMember reports whether the cache is in service and counts as warm.
-func (c *cache) isWarmMember() bool { return c.group != nil && !c.group.warmingUp }
+// inWarmGroup reports whether the cache is in service and counts as warm.
+func (c *cache) inWarmGroup() bool { return c.group != nil && !c.group.warmingUp }
 
-// settleWarmedUp moves caches whose warm-up has ended to groups of warm caches.
-func (e *Engine) settleWarmedUp() {
+// regroupWarmedUp moves caches whose warm-up has ended to groups of warm caches.
+func (e *Engine) regroupWarmedUp() {
 	if len(e.groups.groups) == 0 || e.now < e.groups.nextWarmAt {
 		return
 	}
@@ -157,32 +157,32 @@
 	for _, c := range warmedUp {
 		e.regroup(c, false)
 	}
-	e.sums.known = false
+	e.sums.valid = false
 }
 
-// changeRecent calls change, which changes the recent attempts or rejections of a cache, and updates warmLoad
+// updateRecentAttempts calls change, which changes the recent attempts or rejections of a cache, and updates warmLoad
 // by the difference.
-func (e *Engine) changeRecent(c *cache, change func()) {
+func (e *Engine) updateRecentAttempts(c *cache, change func()) {
 	before := e.recentlyAccepted(c)
 	change()
-	if c.isWarmMember() {
+	if c.inWarmGroup() {
 		e.warmLoad.Adjust(e.now, e.settings.OverloadTime, e.recentlyAccepted(c)-before)
 	}
 }
 
 // weightSums holds cached sums of the weights of the caches in service.
 type weightSums struct {
-	known                  bool // the sums are up to date
+	valid                  bool // the sums are up to date
 	total, warm, warmingUp float64
 }
 
 // weightSums returns the sums, and updates them first if needed. It adds the weights in the order of the
 // caches, so that rounding does not differ between equal routers.
 func (e *Engine) weightSums() *weightSums {
-	if e.sums.known {
+	if e.sums.valid {
 		return &e.sums
 	}
-	e.sums = weightSums{known: true}
+	e.sums = weightSums{valid: true}
 	for _, c := range e.inService {
 		e.sums.total += c.Weight
 		if e.now < c.warmAt {
--- a/policy/health.go
+++ b/policy/health.go
@@ -15,7 +15,7 @@
 	minHealthCheckCost   = 1e-9 // lower bound of the cost of a check, so that the budget stays finite
 	maxSkippedIntervals  = 64   // upper bound of consecutive skipped rounds, for a router with almost no requests
 	maxFleetChecks       = 96   // checks of a cache by all routers in an interval; at 1.5 s they take 3% of 4 cores
-	minChecksAtOnce      = 200  // checks that a router may send at once, even with few requests
+	minCheckBurst        = 200  // checks that a router may send at once, even with few requests
 
 	connectFailureThreshold = 2 // consecutive connect failures that open the circuit of a cache
 	zoneFailureThreshold    = 3 // consecutive connect failures that open the circuit of a zone
@@ -47,36 +47,36 @@
 func (e *Engine) startHealthCheckRound() {
 	e.schedule(e.now+e.settings.HealthCheckInterval(), e.startHealthCheckRound)
 	e.skippedIntervals++
-	atOnce := max(minChecksAtOnce, e.requestsInInterval)
+	maxChecks := max(minCheckBurst, e.requestsInInterval)
 	e.requestsInInterval = 0
-	paid := e.healthCheckBudget >= float64(len(e.inService)) || e.skippedIntervals >= maxSkippedIntervals
+	affordable := e.healthCheckBudget >= float64(len(e.inService)) || e.skippedIntervals >= maxSkippedIntervals
 	switch {
-	case e.lastChecked != "": // the last round reached its limit, and this one continues it
-	case paid:
+	case e.resumeChecksAfter != "": // the last round reached its limit, and this one continues it
+	case affordable:
 		e.healthCheckBudget, e.skippedIntervals = 0, 0
 	default:
 		return
 	}
-	e.sendHealthChecks(atOnce)
+	e.sendHealthChecks(maxChecks)
 }
 
-// sendHealthChecks checks up to atOnce of the caches that are due, from where the last round stopped.
-func (e *Engine) sendHealthChecks(atOnce int) {
+// sendHealthChecks checks up to maxChecks of the caches that are due, from where the last round stopped.
+func (e *Engine) sendHealthChecks(maxChecks int) {
 	e.checkRound++
 	round := e.checkRound
-	first, found := e.findInService(e.lastChecked)
+	first, found := e.findInService(e.resumeChecksAfter)
 	if found {
 		first++
 	}
-	e.lastChecked = ""
+	e.resumeChecksAfter = ""
 	for _, c := range e.inService[first:] {
 		if !e.healthCheckDue(c) {
 			continue
 		}
 		c.checkRound, c.checkedAt = round, e.now
 		e.emit(HealthCheck{c.ID})
-		if atOnce--; atOnce == 0 {
-			e.lastChecked = c.ID
+		if maxChecks--; maxChecks == 0 {
+			e.resumeChecksAfter = c.ID
 			break
 		}
 	}
@@ -99,18 +99,18 @@
 // cache is suspect.
 func (e *Engine) healthCheckDue(c *cache) bool {
 	interval := float64(e.settings.HealthCheckInterval())
-	spread := interval * float64(e.settings.Routers) / maxFleetChecks
-	if spread <= interval || c.failedChecks > 0 || !c.healthy {
+	staggeredInterval := interval * float64(e.settings.Routers) / maxFleetChecks
+	if staggeredInterval <= interval || c.failedChecks > 0 || !c.healthy {
 		c.unconfirmedChecks = 0
 		return true
 	}
 	if c.nextCheckAt == 0 {
-		c.nextCheckAt = e.now + Time(e.rng.Float64()*spread)
+		c.nextCheckAt = e.now + Time(e.rng.Float64()*staggeredInterval)
 	}
 	suspectWait := interval * math.Exp2(float64(c.unconfirmedChecks))
 	switch {
 	case e.now >= c.nextCheckAt:
-		c.nextCheckAt = max(c.nextCheckAt+Time(spread), e.now)
+		c.nextCheckAt = max(c.nextCheckAt+Time(staggeredInterval), e.now)
 		if !c.suspect {
 			c.unconfirmedChecks = 0
 		}
@@ -123,8 +123,8 @@
 	return true
 }
 
-// healthCheckDone handles the result of a health check.
-func (e *Engine) healthCheckDone(ev *HealthCheckDone) {
+// handleHealthCheckDone handles the result of a health check.
+func (e *Engine) handleHealthCheckDone(ev *HealthCheckDone) {
 	c := e.caches[ev.Cache]
 	if c == nil || c.checkRound == 0 {
 		return // the round of the check is over
@@ -154,7 +154,7 @@
 // eject ejects a cache that has been silent for as long as an attempt may take. A limit below one falls to the
 // minimum at once, because each halving would cost each of many routers one more attempt.
 func (e *Engine) eject(c *cache) {
-	c.lastHitOnTime, c.ejected = false, true
+	c.lastLikelyHitInTime, c.ejected = false, true
 	e.adjustCacheLimit(c, false)
 	e.adjustCacheLimit(c, false)
 	if c.concurrencyLimit < 1 {
@@ -169,9 +169,9 @@
 	halfOpenAt      Time // when the next trial request may be sent
 }
 
-// noteConnect records, for a cache and its zone, whether an attempt could connect. In a partition the circuit
+// recordConnect records, for a cache and its zone, whether an attempt could connect. In a partition the circuit
 // of the zone opens first.
-func (e *Engine) noteConnect(c *cache, connected bool) {
+func (e *Engine) recordConnect(c *cache, connected bool) {
 	if connected {
 		c.connectFailures, c.zone.connectFailures = 0, 0
 		return
@@ -181,19 +181,19 @@
 	if c.zone.connectFailures == zoneFailureThreshold {
 		e.logf("zone unreachable zone=%s connect_failures=%d", c.Zone, c.zone.connectFailures)
 	}
-	e.delayTrial(c)
-	c.zone.halfOpenAt = e.zoneTrialAt()
+	e.postponeTrial(c)
+	c.zone.halfOpenAt = e.zoneTrialTime()
 }
 
-// delayTrial sets the time of the next trial request to a cache, with an exponential backoff, and with jitter
+// postponeTrial sets the time of the next trial request to a cache, with an exponential backoff, and with jitter
 // so that routers do not try at the same time.
-func (e *Engine) delayTrial(c *cache) {
+func (e *Engine) postponeTrial(c *cache) {
 	wait := backoff(e.settings.WarmupTime, cacheTrialDivisor, c.connectFailures)
 	c.halfOpenAt = e.now + Time(e.rng.Jitter(wait))
 }
 
-// zoneTrialAt returns the time of the next trial request to a zone.
-func (e *Engine) zoneTrialAt() Time { return e.now + e.settings.WarmupTime/zoneTrialDivisor }
+// zoneTrialTime returns the time of the next trial request to a zone.
+func (e *Engine) zoneTrialTime() Time { return e.now + e.settings.WarmupTime/zoneTrialDivisor }
 
 // circuitOpen reports whether a cache or its zone counts as unreachable. Without circuit breakers, an outdated
 // endpoint list would make requests use up their attempts on caches that are gone.
--- a/policy/health_size_test.go
+++ b/policy/health_size_test.go
@@ -13,7 +13,7 @@
 		requests int // in an interval
 		most     int // checks at once
 	}{
-		"few requests":  {0, minChecksAtOnce},
+		"few requests":  {0, minCheckBurst},
 		"many requests": {700, 700},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -9,19 +9,19 @@
 	minLimit            = .1  // least limit, in steps; below one, a limit is the share of time in use
 	limitDecrease       = .5  // steps by which one overdue attempt lowers a limit
 	toleratedLateShare  = .2  // share of overdue attempts at which a limit stays constant
-	sharedVerdictWeight = .3  // total weight of an outcome at all other caches, for each router
-	maxSavedTimeShare   = .25 // share of the latency threshold that time tokens can reach: about one short attempt
-	slowHitFactor       = 2   // multiple of a cache's quicker hits after which an attempt there is overdue
+	sharedOutcomeWeight = .3  // total weight of an outcome at all other caches, for each router
+	maxTimeTokenShare   = .25 // share of the latency threshold that time tokens can reach: about one short attempt
+	hitLatencyFactor    = 2   // multiple of a cache's quicker hits after which an attempt there is overdue
 	maxThresholdShare   = .9  // share of the latency objective that the threshold of a cache can reach
 	hitLatencyQuantile  = .25 // quantile of the latency of hits that stands for the quicker ones
 	connectionCostUnit  = 100 // connections per cache that ConnectionCost is the cost of
 
-	admissionStep       = .1  // part by which one late attempt lowers the share of admitted keys
-	admissionRecovery   = 4   // drain graces in which the share of admitted keys grows e-fold without attempts
-	minAdmissionRatio   = .2  // least share of admitted keys
-	overloadThreshold   = 1.5 // requests per core, from the endpoint list, above which a cache is sent fewer keys
-	loadDropRatio       = .8  // a load below this part of the last one listed does not lower the share of keys
-	minAcceptedKeyShare = .02 // least share of its keys that a cache is sent
+	admissionStep           = .1  // part by which one late attempt lowers the share of admitted keys
+	admissionRecoveryGraces = 4   // drain graces in which the share of admitted keys grows e-fold without attempts
+	minAdmissionRatio       = .2  // least share of admitted keys
+	overloadThreshold       = 1.5 // requests per core, from the endpoint list, above which a cache is sent fewer keys
+	loadDropRatio           = .8  // a load below this part of the last one listed does not lower the share of keys
+	minAcceptedKeyShare     = .02 // least share of its keys that a cache is sent
 )
 
 // limitStep returns the unit in which limits change: one attempt, or less where there are many routers.
@@ -47,44 +47,44 @@
 	if !e.sparseTraffic() {
 		return c.inFlight == 0 && e.now >= c.lastSentAt+Time(float64(e.latencyThreshold)*(1/c.concurrencyLimit-1))
 	}
-	return c.inFlight == 0 && e.availableTime(c) > 0
+	return c.inFlight == 0 && e.availableTimeTokens(c) > 0
 }
 
-// availableTime returns the balance of a cache's time tokens: the time earned under a limit below one, less the
+// availableTimeTokens returns the balance of a cache's time tokens: the time earned under a limit below one, less the
 // time that past attempts took.
-func (e *Engine) availableTime(c *cache) float64 {
+func (e *Engine) availableTimeTokens(c *cache) float64 {
 	earned := min(c.concurrencyLimit, 1) * float64(e.now-c.timeTokensAt)
-	return min(maxSavedTimeShare*float64(e.latencyThreshold), c.timeTokens+earned)
+	return min(maxTimeTokenShare*float64(e.latencyThreshold), c.timeTokens+earned)
 }
 
 // adjustLimit raises or lowers a limit after one attempt. The limit stays constant on average where the
 // tolerated share of attempts is overdue.
-func (e *Engine) adjustLimit(limit *float64, good bool, tolerated float64) {
+func (e *Engine) adjustLimit(limit *float64, success bool, tolerated float64) {
 	step := e.limitStep()
-	if good {
+	if success {
 		*limit += step * limitDecrease * tolerated / (1 - tolerated)
 	} else {
 		*limit = max(step*minLimit, *limit-limitDecrease*min(*limit, step))
 	}
 }
 
-func (e *Engine) adjustCacheLimit(c *cache, good bool) {
-	e.adjustLimit(&c.concurrencyLimit, good, toleratedLateShare)
+func (e *Engine) adjustCacheLimit(c *cache, success bool) {
+	e.adjustLimit(&c.concurrencyLimit, success, toleratedLateShare)
 }
 
 // adjustAllLimits applies a part of the outcome of an attempt to the limits of all caches, because detecting a
 // surge at each cache separately takes too long. It lowers no limit below one attempt of all routers together,
 // or below the initial limit in sparse traffic.
-func (e *Engine) adjustAllLimits(good bool) {
-	weight := sharedVerdictWeight * float64(e.settings.Routers)
+func (e *Engine) adjustAllLimits(success bool) {
+	weight := sharedOutcomeWeight * float64(e.settings.Routers)
 	share := weight / (weight + float64(len(e.inService)))
 	for _, c := range e.inService {
 		lowest := e.routerShare()
 		if e.sparseTraffic() {
 			lowest = e.initialLimit(c)
 		}
-		if limit := c.concurrencyLimit; limit > lowest || limit == lowest && good {
-			e.adjustLimit(&limit, good, toleratedLateShare)
+		if limit := c.concurrencyLimit; limit > lowest || limit == lowest && success {
+			e.adjustLimit(&limit, success, toleratedLateShare)
 			c.concurrencyLimit = max(lowest, c.concurrencyLimit+share*(limit-c.concurrencyLimit))
 		}
 	}
@@ -101,7 +101,7 @@
 		return class.latencyThreshold()
 	}
 	slowest := Time(maxThresholdShare * float64(class.LatencyObjective))
-	return max(class.latencyThreshold(), min(Time(slowHitFactor*c.hitLatency.Estimate()), slowest))
+	return max(class.latencyThreshold(), min(Time(hitLatencyFactor*c.hitLatency.Estimate()), slowest))
 }
 
 // shouldCloseIdle reports whether an idle connection to the cache costs more than the handshake that it saves
@@ -116,7 +116,7 @@
 // currentAdmission returns the share of admitted keys. It also grows with time, because a router that admits
 // almost nothing would not notice the end of an overload.
 func (e *Engine) currentAdmission() float64 {
-	recovery := float64(admissionRecovery * e.settings.DrainGrace)
+	recovery := float64(admissionRecoveryGraces * e.settings.DrainGrace)
 	return min(1, e.admissionRatio*math.Exp(float64(e.now-e.admissionRatioAt)/recovery))
 }
 
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -69,7 +69,7 @@
 func TestAttemptUnderRouterShareMayTakeLatencyObjective(t *testing.T) {
 	h := newTrafficHarness(t, 1, nil)
 	c := h.engine.caches["c00"]
-	c.concurrencyLimit, c.lastHitOnTime = h.engine.routerShare(), false
+	c.concurrencyLimit, c.lastLikelyHitInTime = h.engine.routerShare(), false
 	h.request(1, "read", 7)
 	h.advance(150 * ms)
 	if c.concurrencyLimit != h.engine.routerShare() {
@@ -137,8 +137,8 @@
 		}
 		last = int64(key)
 	}
-	h.engine.caches[cache].lastHitOnTime = false // so that the verdict is on the cache and not on the origin
-	h.engine.attemptOverdue(h.engine.requests[last], 0)
+	h.engine.caches[cache].lastLikelyHitInTime = false // so that the verdict is on the cache and not on the origin
+	h.engine.handleOverdueAttempt(h.engine.requests[last], 0)
 	other, own := h.engine.caches["c00"].concurrencyLimit, h.engine.caches[cache].concurrencyLimit
 	if before-other <= 0 || other <= own {
 		t.Errorf("an overdue write lowers the limit of its cache from %v to %v, of another to %v", before, own, other)
--- a/policy/log_test.go
+++ b/policy/log_test.go
@@ -17,7 +17,7 @@
 		}},
 		{"zone unreachable zone=b connect_failures=3", func() {
 			for range zoneFailureThreshold + 2 { // logged once
-				h.engine.noteConnect(c, false)
+				h.engine.recordConnect(c, false)
 			}
 		}},
 		{"endpoint list poll failed failed_polls=1", func() {
@@ -26,7 +26,7 @@
 			}
 		}},
 		{"load shedding active=true cache_full=2 origin_full=1", func() {
-			h.engine.shedByCaches, h.engine.shedByOrigin = 2, 1
+			h.engine.shedCacheFull, h.engine.shedOriginFull = 2, 1
 			h.engine.rotateCounts()
 		}},
 		{"load shedding active=false cache_full=0 origin_full=0", func() { h.engine.rotateCounts() }},
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -20,8 +20,8 @@
 func (e *Engine) originFull() bool { return float64(e.missesInFlight)*e.missRatio >= e.originLimit }
 
 // adjustOriginLimit raises or lowers the origin's limit after one attempt.
-func (e *Engine) adjustOriginLimit(good bool) {
-	e.adjustLimit(&e.originLimit, good, toleratedOriginLateShare)
+func (e *Engine) adjustOriginLimit(success bool) {
+	e.adjustLimit(&e.originLimit, success, toleratedOriginLateShare)
 	e.originLimit = max(minOriginLimit, e.originLimit)
 }
 
@@ -32,20 +32,20 @@
 	if e.originLimit <= float64(len(e.inService))*e.routerShare() {
 		return objective
 	}
-	slowness := e.latencyThresholdAt(c, req.class) - req.class.latencyThreshold()
-	return min(objective, Time(missObjectiveShare*float64(objective))+slowness)
+	allowance := e.latencyThresholdAt(c, req.class) - req.class.latencyThreshold()
+	return min(objective, Time(missObjectiveShare*float64(objective))+allowance)
 }
 
-// attemptOverdue handles an attempt that exceeds the latency threshold. It counts against the origin if it is a
+// handleOverdueAttempt handles an attempt that exceeds the latency threshold. It counts against the origin if it is a
 // likely miss and the cache served its last likely hit in time, otherwise against the cache.
-func (e *Engine) attemptOverdue(req *request, n int) {
+func (e *Engine) handleOverdueAttempt(req *request, n int) {
 	a := &req.attempts[n]
 	c := a.cache
-	if a.likelyMiss && c.lastHitOnTime && e.now >= c.warmAt { // a warming cache is itself slow and has few hits
-		e.schedule(a.sentAt+e.missLatencyLimit(req, c), func() { e.missOverdue(&req.attempts[n]) })
+	if a.likelyMiss && c.lastLikelyHitInTime && e.now >= c.warmAt { // a warming cache is itself slow and has few hits
+		e.schedule(a.sentAt+e.missLatencyLimit(req, c), func() { e.handleOverdueMiss(&req.attempts[n]) })
 		return
 	}
-	c.lastHitOnTime = false
+	c.lastLikelyHitInTime = false
 	if c.concurrencyLimit > e.routerShare() {
 		e.adjustAllLimits(false)
 		e.adjustCacheLimit(c, false)
@@ -59,10 +59,10 @@
 	})
 }
 
-// missOverdue handles a likely miss that exceeds missLatencyLimit. It ejects a cache that is silent while the
+// handleOverdueMiss handles a likely miss that exceeds missLatencyLimit. It ejects a cache that is silent while the
 // origin serves others, and otherwise counts the miss against the origin. A hung cache shows mostly as likely
 // misses, because one of many routers knows of few of the keys that the cache holds.
-func (e *Engine) missOverdue(a *attempt) {
+func (e *Engine) handleOverdueMiss(a *attempt) {
 	if !a.pending {
 		return
 	}
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -34,7 +34,7 @@
 	for _, onTime := range []bool{true, false} {
 		h := newTrafficHarness(t, 1, nil)
 		c := h.engine.caches["c00"]
-		c.lastHitOnTime = onTime
+		c.lastLikelyHitInTime = onTime
 		limit, originLimit := c.concurrencyLimit, h.engine.originLimit
 		h.request(1, "read", 7)
 		h.advance(190 * ms)
@@ -69,13 +69,13 @@
 	c.recentKeys[0][7] = true
 	h.request(1, "read", 7)
 	h.advance(150 * ms)
-	if c.lastHitOnTime {
+	if c.lastLikelyHitInTime {
 		t.Error("a cache that was late with a likely hit still counts as on time")
 	}
 	h.serve(1, 0)
 	h.request(2, "read", 7)
 	h.serve(2, 0)
-	if !c.lastHitOnTime {
+	if !c.lastLikelyHitInTime {
 		t.Error("after a hit on time it still counts as late")
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -122,7 +122,7 @@
 	for _, h := range newRouterFleet(t, 1) {
 		c := h.engine.caches["c00"]
 		for range connectFailureThreshold {
-			h.engine.noteConnect(c, false)
+			h.engine.recordConnect(c, false)
 		}
 		if !h.engine.circuitOpen(c) {
 			t.Fatal("an unreachable cache is not skipped")
@@ -132,7 +132,7 @@
 		if h.handle(&TimerFired{}); h.engine.circuitOpen(c) {
 			t.Fatal("no half-open trial")
 		}
-		if h.engine.noteConnect(c, true); h.engine.circuitOpen(c) {
+		if h.engine.recordConnect(c, true); h.engine.circuitOpen(c) {
 			t.Fatal("skipped although it was reached")
 		}
 	}
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -3,57 +3,59 @@
 package policy
 
 const (
-	// minOwnDelay is the lower bound of the delay above which the router counts as overloaded.
-	minOwnDelay Time = 20_000
-	// ownDelayDivisor divides the shortest latency objective to give that delay.
-	ownDelayDivisor = 8
-	// minBehindReports is the number of consecutive reports above that delay that count as an overload. A
+	// minOverloadDelay is the lower bound of the delay above which the router counts as overloaded.
+	minOverloadDelay Time = 20_000
+	// overloadDelayDivisor divides the shortest latency objective to give that delay.
+	overloadDelayDivisor = 8
+	// minOverloadReports is the number of consecutive reports above that delay that count as an overload. A
 	// single one can follow a stall of the process, after which all requests are late for a moment.
-	minBehindReports = 2
-	// delayReportSpans is the number of report intervals for which a reported delay is assumed to last.
-	delayReportSpans = 2
+	minOverloadReports = 2
+	// delayReportLifetime is the number of report intervals for which a reported delay is assumed to last.
+	delayReportLifetime = 2
 
-	leastCut          = .9  // factor of the limit for a delay that just counts as overload
-	deepestCut        = .7  // least factor of the limit for any longer delay
-	requestRateGrowth = 1.1 // factor of the limit for a shorter delay while the limit still rejects requests
+	maxDecreaseFactor = .9  // factor of the limit for a delay that just counts as overload
+	minDecreaseFactor = .7  // least factor of the limit for any longer delay
+	increaseFactor    = 1.1 // factor of the limit for a shorter delay while the limit still rejects requests
 
 	minRequestRate  = 10 // least limit, in requests a second
 	microsPerSecond = 1e6
 )
 
-// delayReported adjusts the limit on requests to the delay with which they are handled. Late replies are of no
+// handleDelayReport adjusts the limit on requests to the delay with which they are handled. Late replies are of no
 // use: a router that accepts more than it can handle in time serves only a small part of what it could.
-func (e *Engine) delayReported(ev *DelayReport) {
-	e.routerDelay, e.routerDelayUntil = ev.MinDelay, e.now+delayReportSpans*ev.Interval
-	if ev.MinDelay > e.maxOwnDelay() {
-		e.behindReports++
+func (e *Engine) handleDelayReport(ev *DelayReport) {
+	e.routerDelay, e.routerDelayUntil = ev.MinDelay, e.now+delayReportLifetime*ev.Interval
+	if ev.MinDelay > e.overloadDelay() {
+		e.overloadReports++
 	} else {
-		e.behindReports = 0
+		e.overloadReports = 0
 	}
 	switch {
-	case e.behindReports >= minBehindReports:
-		e.cutRequestLimit(ev)
-	case e.behindReports > 0 || e.requestLimit == 0:
+	case e.overloadReports >= minOverloadReports:
+		e.decreaseRequestLimit(ev)
+	case e.overloadReports > 0 || e.requestLimit == 0:
 	case ev.Rejected == 0: // the limit is no longer reached
 		e.limitRequests(0)
 	default:
-		e.limitRequests(e.requestLimit * requestRateGrowth)
+		e.limitRequests(e.requestLimit * increaseFactor)
 	}
 }
 
-// cutRequestLimit lowers the limit to a part of the rate that the router handles. The part is smaller for a
+// decreaseRequestLimit lowers the limit to a part of the rate that the router handles. The part is smaller for a
 // longer delay.
-func (e *Engine) cutRequestLimit(ev *DelayReport) {
+func (e *Engine) decreaseRequestLimit(ev *DelayReport) {
 	rate := float64(ev.Handled) / float64(max(ev.Interval, 1)) * microsPerSecond
 	if e.requestLimit > 0 {
 		rate = min(rate, e.requestLimit)
 	}
-	cut := max(deepestCut, leastCut*float64(e.maxOwnDelay())/float64(ev.MinDelay))
-	e.limitRequests(max(minRequestRate, rate*cut))
+	factor := max(minDecreaseFactor, maxDecreaseFactor*float64(e.overloadDelay())/float64(ev.MinDelay))
+	e.limitRequests(max(minRequestRate, rate*factor))
 }
 
-// maxOwnDelay returns the delay of requests above which the router counts as overloaded.
-func (e *Engine) maxOwnDelay() Time { return max(minOwnDelay, e.shortestObjective/ownDelayDivisor) }
+// overloadDelay returns the delay of requests above which the router counts as overloaded.
+func (e *Engine) overloadDelay() Time {
+	return max(minOverloadDelay, e.shortestObjective/overloadDelayDivisor)
+}
 
 // limitRequests sets the limit on requests per second; 0 means no limit.
 func (e *Engine) limitRequests(perSecond float64) {
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -24,19 +24,19 @@
 // TestRouterThatIsBehindTakesFewerRequests checks when the limit on requests is set, moved and taken away.
 func TestRouterThatIsBehindTakesFewerRequests(t *testing.T) {
 	h := newTrafficHarness(t, 3, nil)
-	behind := h.engine.maxOwnDelay()
+	behind := h.engine.overloadDelay()
 	if _, ok := h.report(behind, 100, 0); ok {
 		t.Error("a limit without a delay beyond the bound")
 	}
 	h.report(behind+1, 100, 0)
 	first, ok := h.report(behind+1, 100, 0)
-	if !ok || first.PerSecond >= 1000*leastCut || first.PerSecond < 999*leastCut || first.RetryAfter != 200*ms {
+	if !ok || first.PerSecond >= 1000*maxDecreaseFactor || first.PerSecond < 999*maxDecreaseFactor || first.RetryAfter != 200*ms {
 		t.Errorf("limit %+v, want most of the 1,000 requests a second that were taken", first)
 	}
 	if !strings.Contains(logText(h.actions), "router overloaded active=true") {
 		t.Error("the overload is not logged")
 	}
-	if second, _ := h.report(10*behind, 200, 0); second.PerSecond != first.PerSecond*deepestCut {
+	if second, _ := h.report(10*behind, 200, 0); second.PerSecond != first.PerSecond*minDecreaseFactor {
 		t.Errorf("limit %v behind %v, though the router is far behind", second.PerSecond, first.PerSecond)
 	}
 	for range 100 {
@@ -126,7 +126,7 @@
 		t.Error("a request that can be answered in time is not sent")
 	}
 	h.report(testTimeout, 10, 0)
-	h.advance(delayReportSpans * testReportSpan)
+	h.advance(delayReportLifetime * testReportSpan)
 	if h.request(3, "once", 3) == nil {
 		t.Error("a request is rejected for a delay of long ago")
 	}
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -26,52 +26,53 @@
 	return 1 + int(share*float64(len(e.inService))/hotKeyShare)
 }
 
-// drawReplica returns the rank of the cache that a request is sent to first. It is the first rank, the primary,
+// chooseReplica returns the rank of the cache that a request is sent to first. It is the first rank, the primary,
 // unless the key is hot: a hot key would overload its primary, whose other keys would then miss elsewhere.
-func (e *Engine) drawReplica(key uint64) int {
+func (e *Engine) chooseReplica(key uint64) int {
 	if replicas := min(e.replicaCount(key), len(e.inService)); replicas > 1 {
 		return int(e.rng.Float64() * float64(replicas))
 	}
 	return 0
 }
 
-// pick selects the cache for one attempt. It is offered caches in the order of the ranking.
-type pick struct {
-	engine     *Engine
-	request    *request
-	considered int
-	overloaded bool   // a cache was passed over only for lack of capacity
-	fallback   *cache // the first unusable cache that has capacity
+// cacheSelection selects the cache for one attempt. It considers caches in the order of the ranking.
+type cacheSelection struct {
+	engine        *Engine
+	request       *request
+	considered    int
+	lacksCapacity bool   // a cache was passed over only for lack of capacity
+	fallback      *cache // the first unusable cache that has capacity
 }
 
-// pickCache returns the cache for the next attempt. If there is none it returns nil, and whether the reason is
+// selectCache returns the cache for the next attempt. If there is none it returns nil, and whether the reason is
 // only a lack of capacity.
-func (e *Engine) pickCache(req *request) (picked *cache, overloaded bool) {
+func (e *Engine) selectCache(req *request) (selected *cache, lacksCapacity bool) {
 	req.spilledOver = false
-	replica := e.drawReplica(req.Key)
+	replica := e.chooseReplica(req.Key)
 	if !e.canAttempt(req) {
 		return nil, false
 	}
-	p := &pick{engine: e, request: req}
+	s := &cacheSelection{engine: e, request: req}
 	ranked := e.rankedFor(req, replica+1)
-	if c := p.offerRanked(ranked, replica); c != nil {
+	if c := s.considerRanked(ranked, replica); c != nil {
 		return c, false
 	}
-	if p.considered < maxCandidates && len(ranked) < len(e.inService) {
-		for _, c := range e.searchRanking(req, ranked, maxCandidates-p.considered) {
-			if p.offer(c) {
+	if s.considered < maxCandidates && len(ranked) < len(e.inService) {
+		for _, c := range e.searchRanking(req, ranked, maxCandidates-s.considered) {
+			if s.consider(c) {
 				return c, false
 			}
 		}
 	}
-	if p.overloaded {
+	if s.lacksCapacity {
 		return nil, true
 	}
-	return p.fallback, false
+	return s.fallback, false
 }
 
-// offerRanked offers the caches of the first ranks, after swapping the first one with the replica.
-func (p *pick) offerRanked(ranked []*cache, replica int) *cache {
+// considerRanked considers the caches of the first ranks, after swapping the first one with the replica, and
+// returns the one that the attempt goes to, if any.
+func (s *cacheSelection) considerRanked(ranked []*cache, replica int) *cache {
 	for i := range ranked {
 		switch i {
 		case 0:
@@ -79,51 +80,51 @@
 		case replica:
 			i = 0
 		}
-		if p.considered >= maxCandidates {
+		if s.considered >= maxCandidates {
 			return nil
 		}
-		if p.offer(ranked[i]) {
+		if s.consider(ranked[i]) {
 			return ranked[i]
 		}
 	}
 	return nil
 }
 
-// offer considers a cache and reports whether the attempt goes to it.
-func (p *pick) offer(c *cache) bool {
-	e, req := p.engine, p.request
-	if !e.mayTake(req, c) {
+// consider considers a cache and reports whether the attempt goes to it.
+func (s *cacheSelection) consider(c *cache) bool {
+	e, req := s.engine, s.request
+	if !e.eligible(req, c) {
 		return false
 	}
 	if e.circuitOpen(c) { // not counted, as most of the fleet may be in an unreachable zone
-		p.fallBack(c)
+		s.setFallback(c)
 		return false
 	}
-	p.considered++
+	s.considered++
 	switch {
 	case !e.acceptsKey(c, req.Key):
 	case !c.usable():
-		p.fallBack(c)
+		s.setFallback(c)
 	case req.likelyMissAt(c) && e.originFull():
-		p.overloaded, req.originLimited = true, true
+		s.lacksCapacity, req.originLimited = true, true
 	case !e.hasCapacity(c):
-		p.overloaded = true
-	case !p.overloaded || e.canSpillOver(req, c):
-		req.spilledOver = p.overloaded
+		s.lacksCapacity = true
+	case !s.lacksCapacity || e.canSpillOver(req, c):
+		req.spilledOver = s.lacksCapacity
 		return true
 	}
 	return false
 }
 
-// fallBack keeps the cache as the fallback if it is the first one with capacity.
-func (p *pick) fallBack(c *cache) {
-	if p.fallback == nil && p.engine.hasCapacity(c) {
-		p.fallback = c
+// setFallback keeps the cache as the fallback if it is the first one with capacity.
+func (s *cacheSelection) setFallback(c *cache) {
+	if s.fallback == nil && s.engine.hasCapacity(c) {
+		s.fallback = c
 	}
 }
 
-// mayTake reports whether a cache may get the next attempt of a request, regardless of its health and load.
-func (e *Engine) mayTake(req *request, c *cache) bool {
+// eligible reports whether a cache may get the next attempt of a request, regardless of its health and load.
+func (e *Engine) eligible(req *request, c *cache) bool {
 	return e.canSend(req, c) && !req.alreadyTried(c) && e.slowStartAllows(req, c)
 }
 
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -17,25 +17,25 @@
 		e, rng := newRandomFleet(t, seed)
 		for range 20 {
 			e.now += Time(rng.IntN(200 * ms))
-			e.settleWarmedUp()
+			e.regroupWarmedUp()
 			req := randomRequest(e, rng)
 			source := e.rng
 			want, wantOverloaded, walked := pickByFullRanking(e, req)
 			wantSpilled, wantLimited := req.spilledOver, req.originLimited
 			e.rng, req.originLimited = source, false
-			got, overloaded := e.pickCache(req)
+			got, overloaded := e.selectCache(req)
 			if got != want || overloaded != wantOverloaded || req.spilledOver != wantSpilled || req.originLimited != wantLimited {
 				t.Fatalf("seed %d: picked %v, overloaded %t, want %v and %t", seed, nameOf(got), overloaded, nameOf(want),
 					wantOverloaded)
 			}
 			e.rng = source
-			if again, _ := e.pickCache(req); again != got {
+			if again, _ := e.selectCache(req); again != got {
 				t.Fatalf("seed %d: picked %v at first and %v then", seed, nameOf(got), nameOf(again))
 			}
 			picked += boolToInt(got != nil)
 			fallbacks += boolToInt(got != nil && (e.circuitOpen(got) || !got.usable()))
 			overloads += boolToInt(overloaded)
-			beyondPrefix += boolToInt(walked > rankedPrefix)
+			beyondPrefix += boolToInt(walked > minRankedCaches)
 		}
 	}
 	t.Logf("%d picked, %d of them fallbacks, %d overloaded, %d beyond the prefix", picked, fallbacks, overloads, beyondPrefix)
@@ -58,20 +58,20 @@
 	ranking := slices.Clone(e.inService)
 	score := func(c *cache) float64 { return c.score(hashToUnit(req.Key ^ c.hash)) }
 	slices.SortStableFunc(ranking, func(a, b *cache) int { return cmp.Compare(score(a), score(b)) })
-	if replica := e.drawReplica(req.Key); replica > 0 {
+	if replica := e.chooseReplica(req.Key); replica > 0 {
 		ranking[0], ranking[replica] = ranking[replica], ranking[0]
 	}
-	p := &pick{engine: e, request: req}
+	p := &cacheSelection{engine: e, request: req}
 	for i, c := range ranking {
 		if p.considered >= maxCandidates {
 			break
 		}
 		walked = i + 1
-		if p.offer(c) {
+		if p.consider(c) {
 			return c, false, walked
 		}
 	}
-	if p.overloaded {
+	if p.lacksCapacity {
 		return nil, true, walked
 	}
 	return p.fallback, false, walked
@@ -126,7 +126,7 @@
 			c.inFlight = 4
 		}
 		if rng.Float64() < used {
-			e.changeRecent(c, func() { c.recentAttempts.Add(e.now, e.settings.OverloadTime) })
+			e.updateRecentAttempts(c, func() { c.recentAttempts.Add(e.now, e.settings.OverloadTime) })
 		}
 		c.acceptedKeyShare = rng.Float64()
 	}
@@ -215,7 +215,7 @@
 		t.Fatalf("load of the warm caches %v, made anew %v", kept, load)
 	}
 	kept := *e.weightSums()
-	e.sums.known = false
+	e.sums.valid = false
 	if anew := *e.weightSums(); anew != kept {
 		t.Fatalf("sums %v, made anew %v", kept, anew)
 	}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -22,7 +22,7 @@
 	queued        bool // it waits for capacity
 	originLimited bool // the capacity that it lacked was that of the origin
 	streaming     bool // the answer has started
-	spilledOver   bool // a cache of a higher rank lacked capacity when the last one was picked
+	spilledOver   bool // caches of higher ranks lacked capacity when one was selected
 
 	ranked        []*cache // the caches of the first ranks for its key, as of rankedVersion
 	rankedVersion int
@@ -52,7 +52,7 @@
 		return
 	}
 	if e.sparseTraffic() && hashToUnit(req.Key^e.salt) >= e.currentAdmission() {
-		e.shedByCaches++
+		e.shedCacheFull++
 		e.rejectOrFail(req)
 		return
 	}
@@ -67,11 +67,11 @@
 		e.answerUnlessPending(req) // retries would add to the overload that caused them
 		return
 	}
-	c, overloaded := e.pickCache(req)
+	c, lacksCapacity := e.selectCache(req)
 	switch {
 	case c != nil:
 		e.sendAttempt(req, c)
-	case overloaded && e.now < req.queueDeadline():
+	case lacksCapacity && e.now < req.queueDeadline():
 		e.enqueue(req)
 	default:
 		e.answerUnlessPending(req)
@@ -108,9 +108,9 @@
 		return
 	}
 	if req.originLimited {
-		e.shedByOrigin++
+		e.shedOriginFull++
 	} else {
-		e.shedByCaches++
+		e.shedCacheFull++
 	}
 	e.dequeue(req)
 	e.answerUnlessPending(req)
@@ -130,7 +130,7 @@
 	failed := 0
 	for i := len(e.queue) - 1; i >= 0 && failed < maxDispatchTries; i-- {
 		req := e.queue[i]
-		if c, _ := e.pickCache(req); c != nil {
+		if c, _ := e.selectCache(req); c != nil {
 			e.dequeue(req)
 			e.sendAttempt(req, c)
 		} else {
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -19,7 +19,7 @@
 	if c.State != InService {
 		return false // a draining cache gets no requests as soon as the drain is known
 	}
-	return e.canAttempt(req) && req.inScopeOfAttempts(c)
+	return e.canAttempt(req) && req.inDedupScopeOfAttempts(c)
 }
 
 // canAttempt is the part of the check in canSend that does not depend on the cache.
@@ -31,15 +31,15 @@
 		if a.pending && !e.settings.HedgingAllowed {
 			return false
 		}
-		if req.mayHaveRun(a) && (req.class.Effect == NonIdempotent || e.now >= req.repeatsEnd(a)) {
+		if req.mayHaveRun(a) && (req.class.Effect == NonIdempotent || e.now >= req.repeatDeadline(a)) {
 			return false // its effect must not occur twice
 		}
 	}
 	return true
 }
 
-// inScopeOfAttempts reports whether the cache is in the deduplication scope of all attempts that may have run.
-func (r *request) inScopeOfAttempts(c *cache) bool {
+// inDedupScopeOfAttempts reports whether the cache is in the deduplication scope of all attempts that may have run.
+func (r *request) inDedupScopeOfAttempts(c *cache) bool {
 	for _, a := range r.attempts {
 		if r.mayHaveRun(a) && !inDedupScope(r.class.DedupScope, a.cache, c) {
 			return false
@@ -51,11 +51,11 @@
 // mayHaveRun reports whether an attempt may have had an effect that must not occur twice.
 func (r *request) mayHaveRun(a attempt) bool { return !a.neverRan && r.class.Effect != Idempotent }
 
-// repeatDeadline returns the time before which attempt n must start, as caches later forget the idempotency
+// startDeadline returns the time before which attempt n must start, as caches later forget the idempotency
 // keys of earlier attempts. 0 means no limit.
-func (r *request) repeatDeadline(n int) (deadline Time) {
+func (r *request) startDeadline(n int) (deadline Time) {
 	for _, a := range r.attempts[:n] {
-		expires := r.repeatsEnd(a)
+		expires := r.repeatDeadline(a)
 		if r.class.Effect == IdempotentWithKey && !a.neverRan && (deadline == 0 || expires < deadline) {
 			deadline = expires
 		}
@@ -63,8 +63,8 @@
 	return deadline
 }
 
-// repeatsEnd returns the time before which repeats of an attempt that may have run must start.
-func (r *request) repeatsEnd(a attempt) Time { return a.sentAt + r.class.KeyTTL - dedupMargin }
+// repeatDeadline returns the time before which repeats of an attempt that may have run must start.
+func (r *request) repeatDeadline(a attempt) Time { return a.sentAt + r.class.KeyTTL - dedupMargin }
 
 func inDedupScope(s DedupScope, a, b *cache) bool {
 	return s == ScopeAll || s == ScopeZone && a.Zone == b.Zone || s == ScopeGroup && a.Group == b.Group
@@ -84,7 +84,7 @@
 // retry after a network fault cannot, and would exhaust the retry budget in bad networks.
 func (e *Engine) countsAsRetry(req *request) bool {
 	n := len(req.attempts)
-	return n > 0 && !req.attempts[n-1].harmless
+	return n > 0 && !req.attempts[n-1].freeRetry
 }
 
 // retryBurstLimit returns this router's part of maxFleetRetryBurst.
@@ -98,7 +98,7 @@
 	if req.done || !silent || !e.settings.HedgingAllowed || e.retryBudget < 1 {
 		return
 	}
-	if c, _ := e.pickCache(req); c != nil {
+	if c, _ := e.selectCache(req); c != nil {
 		e.sendAttempt(req, c)
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -14,7 +14,7 @@
 		return true
 	}
 	share := e.slowStartShare(c)
-	if slowStartUnit(req.Key) >= share || e.keptOffWarming(req) {
+	if slowStartHash(req.Key) >= share || e.avoidsWarming(req) {
 		return false
 	}
 	weight := e.weightSums().warm
@@ -22,17 +22,17 @@
 		return false
 	}
 	// The selected keys can still carry more traffic than the cache's weighted part of what warm caches accept.
-	sent := e.warmLoad.At(e.now, e.settings.OverloadTime)
-	fairPart := e.warmupFraction(c) * c.Weight * sent / max(weight, c.Weight)
-	return c.recentAttempts.At(e.now, e.settings.OverloadTime) < 1+fairPart
+	accepted := e.warmLoad.At(e.now, e.settings.OverloadTime)
+	fairCount := e.warmupFraction(c) * c.Weight * accepted / max(weight, c.Weight)
+	return c.recentAttempts.At(e.now, e.settings.OverloadTime) < 1+fairCount
 }
 
-// slowStartUnit maps a key to [0, 1). A warming cache gets the key if the result is below its share.
-func slowStartUnit(key uint64) float64 { return hashToUnit(mix(key) + 1) }
+// slowStartHash maps a key to [0, 1). A warming cache gets the key if the result is below its share.
+func slowStartHash(key uint64) float64 { return hashToUnit(mix(key) + 1) }
 
-// keptOffWarming reports whether a request must not go to a warming cache, as with retries and hot keys.
+// avoidsWarming reports whether a request must not go to a warming cache, as with retries and hot keys.
 // During a fault, retries are most of the traffic, and all of them look for spare capacity.
-func (e *Engine) keptOffWarming(req *request) bool {
+func (e *Engine) avoidsWarming(req *request) bool {
 	return len(req.attempts) > 0 || e.replicaCount(req.Key) > 1
 }
 
@@ -56,8 +56,8 @@
 // show the share.
 func (e *Engine) mayBeHotKey(key uint64, weight, share float64) bool {
 	fleetWeight := e.meanWeight * float64(len(e.inService))
-	fairPart := float64(e.requestCounts.Total()) * weight / fleetWeight
-	limit := fairPart * share * max(1, (e.settings.OverloadMultiple-1)/2)
+	fairCount := float64(e.requestCounts.Total()) * weight / fleetWeight
+	limit := fairCount * share * max(1, (e.settings.OverloadMultiple-1)/2)
 	count := e.keyCounts.Total(key)
 	if count == 1 {
 		limit *= math.E
