--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -61,28 +61,31 @@
 // rankingSearch looks through the ranking for a request, behind its first ranks, for the next caches that a
 // cacheSelection would consider.
 type rankingSearch struct {
-	engine      *Engine
-	request     *request
-	ranked      []*cache                    // the caches of the first ranks, which the search leaves out
-	considered  *partialsort.Lowest[*cache] // the next caches that a cacheSelection would consider
-	unreachable *partialsort.Lowest[*cache] // the first cache with an open circuit that has capacity
+	engine            *Engine
+	request           *request
+	ranked            []*cache                    // the caches of the first ranks, which the search leaves out
+	considered        *partialsort.Lowest[*cache] // the next caches that a cacheSelection would consider
+	lowestUnreachable *partialsort.Lowest[*cache] // the first cache with an open circuit that has capacity
 }
 
-// searchRanking returns the next caches in the ranking that a cacheSelection can use, in order: up to count caches
-// to consider, and the first one that has capacity but an open circuit, unless it ranks behind all of the count.
+// searchRanking returns the next caches in the ranking that a cacheSelection can use, in order: up to count
+// caches to consider, and the first one that has capacity but an open circuit, unless it ranks behind all of
+// the count.
 func (e *Engine) searchRanking(req *request, ranked []*cache, count int) []*cache {
-	s := &rankingSearch{engine: e, request: req, ranked: ranked, considered: &e.lowestScores, unreachable: &e.lowestUnreachable}
+	s := &rankingSearch{
+		engine: e, request: req, ranked: ranked, considered: &e.lowestScores, lowestUnreachable: &e.lowestUnreachable,
+	}
 	s.considered.Reset(count)
-	s.unreachable.Reset(1)
+	s.lowestUnreachable.Reset(1)
 	for _, group := range e.groups.groups {
 		s.scan(group, e.searchableCaches(req, group))
 	}
 	found := slices.Clone(s.considered.Elements())
-	if len(s.unreachable.Elements()) == 0 || s.unreachable.Score(0) >= s.considered.Limit() {
+	if len(s.lowestUnreachable.Elements()) == 0 || s.lowestUnreachable.Score(0) >= s.considered.Limit() {
 		return found
 	}
-	rank := sort.Search(len(found), func(i int) bool { return s.considered.Score(i) > s.unreachable.Score(0) })
-	return slices.Insert(found, rank, s.unreachable.Elements()[0])
+	rank := sort.Search(len(found), func(i int) bool { return s.considered.Score(i) > s.lowestUnreachable.Score(0) })
+	return slices.Insert(found, rank, s.lowestUnreachable.Elements()[0])
 }
 
 // searchableCaches returns how many caches, from the start of a group, the slow start may allow for a request.
@@ -126,7 +129,7 @@
 
 // unreachableLimit returns the score from which on the search needs no cache with an open circuit.
 func (s *rankingSearch) unreachableLimit() float64 {
-	return min(s.unreachable.Limit(), s.considered.Limit())
+	return min(s.lowestUnreachable.Limit(), s.considered.Limit())
 }
 
 // add adds a cache to the results if its score is low enough, and reports whether it did. unit is the hash of
@@ -140,7 +143,7 @@
 		if score >= s.unreachableLimit() || !e.hasCapacity(c) {
 			return false
 		}
-		results = s.unreachable
+		results = s.lowestUnreachable
 	}
 	if score >= results.Limit() || slices.Contains(s.ranked, c) || !e.eligible(s.request, c) {
 		return false
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -53,7 +53,7 @@
 
 // pickByFullRanking picks by a walk through the ranking of all caches in service, and returns how many of
 // them it walked through.
-func pickByFullRanking(e *Engine, req *request) (picked *cache, overloaded bool, walked int) {
+func pickByFullRanking(e *Engine, req *request) (picked *cache, lacksCapacity bool, walked int) {
 	req.spilledOver = false
 	ranking := slices.Clone(e.inService)
 	score := func(c *cache) float64 { return c.score(hashToUnit(req.Key ^ c.hash)) }
