--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -11,7 +11,7 @@
 	cancelled       bool // a Cancel was sent for it
 	neverRan        bool // its result proves that the cache did not carry it out
 	connectionReset bool // the connection was lost before the reply was complete
-	freeRetry       bool // it ended in a network fault, or was rejected while this router's load was low
+	freeRetry       bool // a retry uses no budget: the network failed, or the cache rejected at low load
 }
 
 // outcome is the result of an attempt, with its evaluation by this router.
@@ -97,7 +97,7 @@
 	e.dispatchQueued()
 }
 
-// evaluate evaluates the result of an attempt.
+// evaluate determines the outcome of an attempt from its result and its latency.
 func (e *Engine) evaluate(req *request, ev *AttemptDone) outcome {
 	a := &req.attempts[ev.Attempt]
 	o := outcome{AttemptDone: ev, request: req, attempt: a, latency: e.now - a.sentAt}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// start initializes the limit of the origin and the timers, after the first endpoint list.
+// start starts the timers and sets the initial limit of the origin, after the first endpoint list.
 func (e *Engine) start() {
 	e.missRatio = 1
 	fleetLimit := initialFleetLimit * float64(len(e.inService))
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -25,9 +25,9 @@
 	actions []Action // actions for the event being handled
 	timers  callback.Registry
 
-	caches      map[string]*cache // every cache ever listed
-	zones       map[string]*circuitBreaker
-	inService   []*cache // caches in service, ordered by ID
+	caches      map[string]*cache          // all known caches by ID, and removed ones for a while
+	zones       map[string]*circuitBreaker // circuit breakers of the zones
+	inService   []*cache                   // caches in service, ordered by ID
 	groups      cacheGroups
 	sums        weightSums        // cached by the method weightSums
 	warmLoad    stats.FadingCount // recently accepted attempts at warm caches
--- a/policy/groups.go
+++ b/policy/groups.go
@@ -160,8 +160,8 @@
 	e.sums.valid = false
 }
 
-// updateRecentAttempts calls change, which changes the recent attempts or rejections of a cache, and updates warmLoad
-// by the difference.
+// updateRecentAttempts calls change, which changes the recent attempts or rejections of a cache, and updates
+// warmLoad by the difference.
 func (e *Engine) updateRecentAttempts(c *cache, change func()) {
 	before := e.recentlyAccepted(c)
 	change()
--- a/policy/health.go
+++ b/policy/health.go
@@ -185,8 +185,8 @@
 	c.zone.halfOpenAt = e.zoneTrialTime()
 }
 
-// postponeTrial sets the time of the next trial request to a cache, with an exponential backoff, and with jitter
-// so that routers do not try at the same time.
+// postponeTrial sets the time of the next trial request to a cache, with an exponential backoff, and with
+// jitter so that routers do not try at the same time.
 func (e *Engine) postponeTrial(c *cache) {
 	wait := backoff(e.settings.WarmupTime, cacheTrialDivisor, c.connectFailures)
 	c.halfOpenAt = e.now + Time(e.rng.Jitter(wait))
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -19,7 +19,7 @@
 	admissionStep           = .1  // part by which one late attempt lowers the share of admitted keys
 	admissionRecoveryGraces = 4   // drain graces in which the share of admitted keys grows e-fold without attempts
 	minAdmissionRatio       = .2  // least share of admitted keys
-	overloadThreshold       = 1.5 // requests per core, from the endpoint list, above which a cache is sent fewer keys
+	overloadThreshold       = 1.5 // listed requests per core above which a cache is sent fewer keys
 	loadDropRatio           = .8  // a load below this part of the last one listed does not lower the share of keys
 	minAcceptedKeyShare     = .02 // least share of its keys that a cache is sent
 )
@@ -50,8 +50,8 @@
 	return c.inFlight == 0 && e.availableTimeTokens(c) > 0
 }
 
-// availableTimeTokens returns the balance of a cache's time tokens: the time earned under a limit below one, less the
-// time that past attempts took.
+// availableTimeTokens returns the balance of a cache's time tokens: the time earned under a limit below one,
+// less the time that past attempts took.
 func (e *Engine) availableTimeTokens(c *cache) float64 {
 	earned := min(c.concurrencyLimit, 1) * float64(e.now-c.timeTokensAt)
 	return min(maxTimeTokenShare*float64(e.latencyThreshold), c.timeTokens+earned)
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -4,8 +4,8 @@
 
 const (
 	minOriginLimit           = 1   // least limit on likely misses in flight
-	toleratedOriginLateShare = .15 // of overdue likely misses, at which the limit stays constant; recovery is slow
-	missObjectiveShare       = .65 // of the latency objective, after which a likely miss counts against the origin
+	toleratedOriginLateShare = .15 // share of overdue likely misses at which the limit is constant; recovery is slow
+	missObjectiveShare       = .65 // share of the latency objective from which a likely miss is the origin's fault
 	missRatioWindow          = 64  // likely misses that the moving average of the share of actual misses spans
 )
 
@@ -36,12 +36,12 @@
 	return min(objective, Time(missObjectiveShare*float64(objective))+allowance)
 }
 
-// handleOverdueAttempt handles an attempt that exceeds the latency threshold. It counts against the origin if it is a
-// likely miss and the cache served its last likely hit in time, otherwise against the cache.
+// handleOverdueAttempt handles an attempt that exceeds the latency threshold. It counts against the origin if
+// it is a likely miss and the cache served its last likely hit in time, otherwise against the cache.
 func (e *Engine) handleOverdueAttempt(req *request, n int) {
 	a := &req.attempts[n]
 	c := a.cache
-	if a.likelyMiss && c.lastLikelyHitInTime && e.now >= c.warmAt { // a warming cache is itself slow and has few hits
+	if a.likelyMiss && c.lastLikelyHitInTime && e.now >= c.warmAt { // a warming cache is slow and has few hits
 		e.schedule(a.sentAt+e.missLatencyLimit(req, c), func() { e.handleOverdueMiss(&req.attempts[n]) })
 		return
 	}
@@ -59,9 +59,9 @@
 	})
 }
 
-// handleOverdueMiss handles a likely miss that exceeds missLatencyLimit. It ejects a cache that is silent while the
-// origin serves others, and otherwise counts the miss against the origin. A hung cache shows mostly as likely
-// misses, because one of many routers knows of few of the keys that the cache holds.
+// handleOverdueMiss handles a likely miss that exceeds missLatencyLimit. It ejects a cache that is silent
+// while the origin serves others, and otherwise counts the miss against the origin. A hung cache shows mostly
+// as likely misses, because one of many routers knows of few of the keys that the cache holds.
 func (e *Engine) handleOverdueMiss(a *attempt) {
 	if !a.pending {
 		return
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -21,8 +21,8 @@
 	microsPerSecond = 1e6
 )
 
-// handleDelayReport adjusts the limit on requests to the delay with which they are handled. Late replies are of no
-// use: a router that accepts more than it can handle in time serves only a small part of what it could.
+// handleDelayReport adjusts the limit on requests to the delay with which they are handled. Late replies are
+// of no use: a router that accepts more than it can handle in time serves only a small part of what it could.
 func (e *Engine) handleDelayReport(ev *DelayReport) {
 	e.routerDelay, e.routerDelayUntil = ev.MinDelay, e.now+delayReportLifetime*ev.Interval
 	if ev.MinDelay > e.overloadDelay() {
@@ -41,8 +41,8 @@
 	}
 }
 
-// decreaseRequestLimit lowers the limit to a part of the rate that the router handles. The part is smaller for a
-// longer delay.
+// decreaseRequestLimit lowers the limit to a part of the rate that the router handles. The part is smaller
+// for a longer delay.
 func (e *Engine) decreaseRequestLimit(ev *DelayReport) {
 	rate := float64(ev.Handled) / float64(max(ev.Interval, 1)) * microsPerSecond
 	if e.requestLimit > 0 {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -26,8 +26,9 @@
 	return 1 + int(share*float64(len(e.inService))/hotKeyShare)
 }
 
-// chooseReplica returns the rank of the cache that a request is sent to first. It is the first rank, the primary,
-// unless the key is hot: a hot key would overload its primary, whose other keys would then miss elsewhere.
+// chooseReplica returns the rank of the cache that a request is sent to first. It is the first rank, the
+// primary, unless the key is hot: a hot key would overload its primary, whose other keys would then miss
+// elsewhere.
 func (e *Engine) chooseReplica(key uint64) int {
 	if replicas := min(e.replicaCount(key), len(e.inService)); replicas > 1 {
 		return int(e.rng.Float64() * float64(replicas))
@@ -44,8 +45,8 @@
 	fallback      *cache // the first unusable cache that has capacity
 }
 
-// selectCache returns the cache for the next attempt. If there is none it returns nil, and whether the reason is
-// only a lack of capacity.
+// selectCache returns the cache for the next attempt. If there is none it returns nil, and whether the reason
+// is only a lack of capacity.
 func (e *Engine) selectCache(req *request) (selected *cache, lacksCapacity bool) {
 	req.spilledOver = false
 	replica := e.chooseReplica(req.Key)
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// consider considers a cache and reports whether the attempt goes to it.
+// consider reports whether the attempt goes to the cache, and if not, records what stands against it.
 func (s *cacheSelection) consider(c *cache) bool {
 	e, req := s.engine, s.request
 	if !e.eligible(req, c) {
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -21,7 +21,7 @@
 	done          bool // it has a final answer, or its client has gone
 	queued        bool // it waits for capacity
 	originLimited bool // the capacity that it lacked was that of the origin
-	streaming     bool // the answer has started
+	streaming     bool // the response has begun to reach the client
 	spilledOver   bool // caches of higher ranks lacked capacity when one was selected
 
 	ranked        []*cache // the caches of the first ranks for its key, as of rankedVersion
@@ -102,7 +102,7 @@
 	}
 }
 
-// shedQueued removes a request that is still queued from the queue, and gives its final answer.
+// shedQueued removes a request that is still queued, and gives its final answer unless an attempt is pending.
 func (e *Engine) shedQueued(req *request) {
 	if !req.queued || req.done {
 		return
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -8,8 +8,8 @@
 	retryRatio         = .05 // long-term number of retries and hedges per request
 	maxFleetRetryBurst = 20  // retries and hedges in one burst, over all routers
 
-	// dedupMargin is the time by which repeats must start before caches forget a request's idempotency key. The
-	// process may stall between its last reading of the clock and the write.
+	// dedupMargin shortens the time in which a request may be repeated before caches forget its idempotency
+	// key. The process may stall between its last reading of the clock and the write.
 	dedupMargin Time = 150_000
 )
 
@@ -17,7 +17,7 @@
 // check, so that every attempt passes it.
 func (e *Engine) canSend(req *request, c *cache) bool {
 	if c.State != InService {
-		return false // a draining cache gets no requests as soon as the drain is known
+		return false // a draining cache gets no further requests
 	}
 	return e.canAttempt(req) && req.inDedupScopeOfAttempts(c)
 }
@@ -38,7 +38,8 @@
 	return true
 }
 
-// inDedupScopeOfAttempts reports whether the cache is in the deduplication scope of all attempts that may have run.
+// inDedupScopeOfAttempts reports whether the cache is in the deduplication scope of all attempts that may
+// have run.
 func (r *request) inDedupScopeOfAttempts(c *cache) bool {
 	for _, a := range r.attempts {
 		if r.mayHaveRun(a) && !inDedupScope(r.class.DedupScope, a.cache, c) {
