--- a/policy/cache.go
+++ b/policy/cache.go
@@ -29,7 +29,7 @@
 	ejected           bool // it was silent for too long, and has not served a request since
 
 	inFlight            int     // attempts in flight, including those of finished requests
-	concurrencyLimit    float64 // limit of this router; below one, the share of time that attempts may take
+	concurrencyLimit    float64 // limit of this router; below one, the share of time in use
 	timeTokens          float64 // time earned under a limit below one, as of timeTokensAt
 	timeTokensAt        Time
 	attemptsSent        int // in all, for as long as the cache has been known
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -85,8 +85,7 @@
 	}
 }
 
-// queueDeadline returns the time after which a request no longer waits for capacity, as it would be served
-// late.
+// queueDeadline returns the time until which a request may wait for capacity. Later it would be served late.
 func (r *request) queueDeadline() Time {
 	span := min(r.class.LatencyObjective, r.Deadline-r.arrivedAt)
 	return r.arrivedAt + Time(maxQueueShare*float64(span))
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -50,11 +50,11 @@
 	CancelAllowed       bool    // Cancel may be used
 	HealthChecksAllowed bool    // HealthCheck may be used
 	MaxRetryAfter       Time    // longest RetryAfter that clients honour; 0 if it is not passed on to them
-	DrainGrace          Time    // time after which a draining or removed cache must get no request; 0 is the default
+	DrainGrace          Time    // time until a draining or removed cache must get no more requests; 0 means the default
 	WarmupTime          Time    // time after its start when a cache is warm at the latest
 	WarmupStartShare    float64 // least share of its capacity that a cache has at its start
-	OverloadMultiple    float64 // multiple of its capacity under which a cache collapses after OverloadTime
-	OverloadTime        Time    // duration of that load after which a cache collapses
+	OverloadMultiple    float64 // load, as a multiple of its capacity, that makes a cache collapse
+	OverloadTime        Time    // duration of such a load after which a cache collapses
 	PollInterval        Time    // time after which a router without a watch counts as notified
 	HealthCheckCost     float64 // cost, in points, of one health check per request
 	ConnectionCost      float64 // cost, in points, of 100 open connections per cache
