--- a/policy/requests.go
+++ b/policy/requests.go
@@ -21,8 +21,8 @@
 	done          bool // it has a final answer, or its client has gone
 	queued        bool // it waits for capacity
 	originLimited bool // the capacity that it lacked was that of the origin
-	streaming     bool // the answer has started
-	spilledOver   bool // a cache of a higher rank lacked capacity when the last one was picked
+	streaming     bool // the response has begun to reach the client
+	spilledOver   bool // caches of higher ranks lacked capacity when one was selected
 
 	ranked        []*cache // the caches of the first ranks for its key, as of rankedVersion
 	rankedVersion int
@@ -52,7 +52,7 @@
 		return
 	}
 	if e.sparseTraffic() && hashToUnit(req.Key^e.salt) >= e.currentAdmission() {
-		e.shedByCaches++
+		e.shedCacheFull++
 		e.rejectOrFail(req)
 		return
 	}
@@ -67,11 +67,11 @@
 		e.answerUnlessPending(req) // retries would add to the overload that caused them
 		return
 	}
-	c, overloaded := e.pickCache(req)
+	c, lacksCapacity := e.selectCache(req)
 	switch {
 	case c != nil:
 		e.sendAttempt(req, c)
-	case overloaded && e.now < req.queueDeadline():
+	case lacksCapacity && e.now < req.queueDeadline():
 		e.enqueue(req)
 	default:
 		e.answerUnlessPending(req)
@@ -85,8 +85,7 @@
 	}
 }
 
-// queueDeadline returns the time after which a request no longer waits for capacity, as it would be served
-// late.
+// queueDeadline returns the time until which a request may wait for capacity. Later it would be served late.
 func (r *request) queueDeadline() Time {
 	span := min(r.class.LatencyObjective, r.Deadline-r.arrivedAt)
 	return r.arrivedAt + Time(maxQueueShare*float64(span))
@@ -102,15 +101,15 @@
 	}
 }
 
-// shedQueued removes a request that is still queued from the queue, and gives its final answer.
+// shedQueued removes a request that is still queued, and gives its final answer unless an attempt is pending.
 func (e *Engine) shedQueued(req *request) {
 	if !req.queued || req.done {
 		return
 	}
 	if req.originLimited {
-		e.shedByOrigin++
+		e.shedOriginFull++
 	} else {
-		e.shedByCaches++
+		e.shedCacheFull++
 	}
 	e.dequeue(req)
 	e.answerUnlessPending(req)
@@ -130,7 +129,7 @@
 	failed := 0
 	for i := len(e.queue) - 1; i >= 0 && failed < maxDispatchTries; i-- {
 		req := e.queue[i]
-		if c, _ := e.pickCache(req); c != nil {
+		if c, _ := e.selectCache(req); c != nil {
 			e.dequeue(req)
 			e.sendAttempt(req, c)
 		} else {
