--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -11,15 +11,22 @@
 )
 
 const (
-	acceptBackoff      = 10 * time.Millisecond  // before a descriptor is sought again
-	maxAcceptRetries   = 100                    // of failed calls in a row, before one waits for the backoff
-	firstCommandGrace  = 100 * time.Millisecond // for a new connection's first command to arrive before it may be evicted
-	finalAcceptTimeout = 20 * time.Millisecond  // for each Accept of a queued connection while the router drains
+	// acceptBackoff is the delay before the accept loop tries again after a lack of descriptors or a
+	// failed Accept.
+	acceptBackoff = 10 * time.Millisecond
+	// maxAcceptRetries is the number of consecutive failed calls of Accept after which the loop waits for
+	// the backoff, whatever the error is.
+	maxAcceptRetries = 100
+	// firstCommandGrace is the time that a new connection has for its first command to arrive before it
+	// may be evicted.
+	firstCommandGrace = 100 * time.Millisecond
+	// finalAcceptTimeout is the timeout of each Accept of a queued connection while the router drains.
+	finalAcceptTimeout = 20 * time.Millisecond
 )
 
-// acceptLoop accepts connections until the router closes, and then those that are still queued:
-// the kernel has accepted them, so requests may already have been sent on them, and closing the
-// listener would reset them.
+// acceptLoop accepts connections until s.closing is closed, and then those that are still in the listener's
+// queue. The kernel has already established these, so clients may have sent requests on them, and closing
+// the listener would reset them.
 func (s *Server) acceptLoop() error {
 	var failures acceptFailures
 	for {
@@ -42,8 +49,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// Outside of closing drain has interrupted Accept. The deadline may also have passed
-			// before Accept looked for a connection, which then is still queued.
+			// Before closing was set, drain interrupted the call. Afterwards the deadline may have
+			// passed before Accept checked the queue, so a connection may still be in it.
 			if closing && !socket.HasQueuedConnections(s.system, s.listener) {
 				return err
 			}
@@ -56,21 +63,21 @@
 	}
 }
 
-// acceptFailures counts errors of accept in a row. None of them may end the router: the process or
+// acceptFailures counts consecutive errors of Accept. None of them ends the router: either the process or
 // the machine is short of resources, or a connection has failed while it was queued.
 type acceptFailures struct{ inRow int }
 
 func (f *acceptFailures) reset() { f.inRow = 0 }
 
 // needBackoff counts an error and reports whether to wait before the next call. A failed connection
-// does not delay those queued behind it, unless so many fail that the loop would spin.
+// does not delay those queued behind it, unless so many fail in a row that the loop would spin.
 func (f *acceptFailures) needBackoff(err error) bool {
 	f.inRow++
 	return isResourceShortage(err) || f.inRow%maxAcceptRetries == 0
 }
 
-// isResourceShortage reports whether descriptors, memory or the watches of epoll were lacking, so that
-// a call that is repeated at once would fail again.
+// isResourceShortage reports whether the call failed for lack of descriptors, memory or epoll watches, so
+// that an immediate retry would fail again.
 func isResourceShortage(err error) bool {
 	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC} {
 		if errors.Is(err, errno) {
@@ -80,10 +87,10 @@
 	return false
 }
 
-// waitForDescriptor waits for a descriptor for one more client. It reports false once no more
-// clients are accepted. While there is no descriptor, it evicts the connection that has been idle
-// for longest, as the protocol allows between requests, so that idle clients do not shut out
-// others.
+// waitForDescriptor acquires a descriptor for one more client, waiting until one is free. It reports false
+// once no more clients are accepted. While no descriptor is free, it evicts the connection that has been
+// idle the longest, so that idle clients do not keep others from connecting. The protocol allows the router
+// to close a connection between requests.
 func (s *Server) waitForDescriptor() bool {
 	for !s.descriptors.acquireClient() {
 		s.noteAcceptStall()
@@ -94,15 +101,15 @@
 		select {
 		case <-s.ended:
 			return false
-		case <-s.descriptors.freed: // polling alone would accept too few a second to serve a long queue
-		case <-time.After(s.acceptBackoff): // another connection may be idle by now
+		case <-s.descriptors.freed: // polling alone would be too slow for a long queue
+		case <-time.After(s.acceptBackoff): // another connection may have become idle
 		}
 	}
 	return true
 }
 
-// noteAcceptStall notes that connections which are not in the listener's queue yet may wait there from
-// now on.
+// noteAcceptStall records that connections that reach the listener's queue from now on may have to wait
+// there. If connections are queued already, it keeps the earlier start of the stall.
 func (s *Server) noteAcceptStall() {
 	now := s.loop.clock()
 	if s.acceptStalledSince == 0 || !socket.HasQueuedConnections(s.system, s.listener) {
@@ -110,15 +117,15 @@
 	}
 }
 
-// endAcceptStall notes that connections are accepted as they come, once no more are queued.
+// endAcceptStall ends an accept stall once the listener's queue is empty. New connections are then accepted
+// without a wait.
 func (s *Server) endAcceptStall() {
 	if s.acceptStalledSince != 0 && !socket.HasQueuedConnections(s.system, s.listener) {
 		s.acceptStalledSince = 0
 	}
 }
 
-// longestIdle returns the connection whose last reply is the oldest of those that may be evicted,
-// or nil.
+// longestIdle returns the evictable connection whose last reply is the oldest, or nil if there is none.
 func (s *Server) longestIdle() *clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/backlog_probe.go
+++ b/internal/router/backlog_probe.go
@@ -2,14 +2,15 @@
 
 import "os"
 
-// backlogProbe tells when the process has caught up with what arrived before a moment: a byte in a pipe
-// becomes readable behind it, and its reader is woken like the readers of all connections.
+// backlogProbe shows when the process has read what arrived before a given time. It writes a byte to a pipe.
+// The byte becomes readable after the data that arrived earlier, and the runtime wakes the pipe's reader in
+// the same way as the readers of connections.
 type backlogProbe struct {
 	reader, writer *os.File
 }
 
-// newBacklogProbe returns a probe that calls returned, in a goroutine of its own, for each send. It returns nil
-// where the system has no pipe to give.
+// newBacklogProbe returns a probe that calls returned, in a separate goroutine, once for each send. It
+// returns nil if the system can't create a pipe.
 func newBacklogProbe(returned func()) *backlogProbe {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -24,20 +25,20 @@
 	buf := make([]byte, 1)
 	for {
 		if _, err := p.reader.Read(buf); err != nil {
-			return // closed
+			return // the probe is closed
 		}
 		returned()
 	}
 }
 
-// send sends the probe, and reports whether that was possible.
+// send writes a byte to the pipe and reports whether that succeeded.
 func (p *backlogProbe) send() bool {
 	_, err := p.writer.Write([]byte{0})
 	return err == nil
 }
 
-// close ends the probe.
+// close closes the pipe, which ends the probe's goroutine.
 func (p *backlogProbe) close() {
-	_ = p.writer.Close() // nothing could be done about an error
+	_ = p.writer.Close() // an error can't be handled
 	_ = p.reader.Close()
 }
--- a/internal/router/client_commands.go
+++ b/internal/router/client_commands.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxVerbSize     = 32      // bytes of a command's name that are looked at
-	requestOverhead = 1 << 10 // bytes charged for a request beside those of its command
+	maxVerbSize     = 32      // bytes of a command's name that are compared
+	requestOverhead = 1 << 10 // bytes charged for a request in addition to those of its command
 )
 
 // Replies to commands that are not requests.
@@ -22,15 +22,15 @@
 	unknownCommandReply = "-ERR unknown command\r\n"
 )
 
-// Errors of commands that can be parsed, but that no proper client sends. Clients see their text.
+// Errors of commands that can be parsed but are invalid. Their texts are sent to clients.
 var (
 	errInlineCommand         = errors.New("a command is an array of bulk strings")
 	errMissingIdempotencyKey = errors.New("k is needed")
 	errUnknownClass          = errors.New("c names no class")
 )
 
-// handleCommand carries out one command. raw is the command as it was received, arrivedAt the time
-// of its last byte.
+// handleCommand executes one command. raw holds the command's bytes as received; arrivedAt is the time at
+// which its last byte arrived.
 func (c *clientConn) handleCommand(args [][]byte, raw []byte, arrivedAt policy.Time) connState {
 	if len(args) == 0 {
 		return connOpen
@@ -41,7 +41,7 @@
 		return c.reply(c.pingReply(args))
 	case resp.VerbQuit:
 		c.reader.last.afterQuit = true
-		c.reader.end() // commands behind it that have been read are answered, too
+		c.reader.end() // commands after QUIT that have been read are answered as well
 		return c.reply([]byte(resp.OKReply))
 	case resp.VerbGet, resp.VerbSet:
 		return c.handleRequest(raw, arrivedAt)
@@ -50,7 +50,7 @@
 	}
 }
 
-// pingReply reports whether the router can serve requests.
+// pingReply returns the reply to PING, which tells whether the router can serve requests.
 func (c *clientConn) pingReply(args [][]byte) []byte {
 	switch {
 	case !c.srv.loop.canServe.Load():
@@ -62,7 +62,7 @@
 	}
 }
 
-// handleRequest hands a command that caches serve to the event loop.
+// handleRequest passes a C.GET or C.SET to the event loop, or rejects it.
 func (c *clientConn) handleRequest(raw []byte, arrivedAt policy.Time) connState {
 	if reply := c.srv.loop.limiter.reject(); reply != nil {
 		c.srv.loop.noteRejectedUnparsed(c, rejectOverloaded)
@@ -82,7 +82,7 @@
 		return c.reply(resp.AppendError(nil, err.Error()))
 	}
 	slot := newReplySlot(c.srv.memory)
-	// Many short commands take a multiple of their bytes in memory.
+	// A short command takes several times its size in memory, hence the overhead.
 	charge := int64(len(raw) + requestOverhead)
 	if !slot.memory.tryAcquire(charge) {
 		c.srv.loop.noteRejected(c, cmd, rejectMemory)
@@ -101,9 +101,9 @@
 	return connOpen
 }
 
-// validate reports what is wrong with a command that can be parsed, but that no proper client
-// sends. If it were forwarded, a cache would serve it like a client's, or it would be retried
-// without the idempotency key by which caches drop duplicates.
+// validate returns an error for a command that can be parsed but is invalid. Such a command must not be
+// forwarded: a cache would serve it as if it were valid, or the router would retry it without the
+// idempotency key by which caches drop duplicates.
 func (s *Server) validate(raw []byte, cmd resp.Command) error {
 	if raw[0] != redcon.Array {
 		return errInlineCommand
--- a/internal/router/client_conn.go
+++ b/internal/router/client_conn.go
@@ -12,19 +12,25 @@
 )
 
 const (
-	maxPipelined        = 512                     // commands of one connection that may await their replies; more are rejected
-	maxDiscarded        = 4 * resp.MaxCommandSize // bytes read and discarded after the last command, once all replies are written
-	discardBufferSize   = 4 << 10                 // bytes discarded with one read, at most
-	hangupCheckInterval = 25 * time.Millisecond   // between checks for a disconnect while nothing is read
+	// maxPipelined is the number of commands of one connection that may await their replies. Further
+	// commands wait or are rejected (see enqueue).
+	maxPipelined = 512
+	// maxDiscarded is the number of bytes after a malformed command that are read and discarded once all
+	// replies are written.
+	maxDiscarded = 4 * resp.MaxCommandSize
+	// discardBufferSize is the maximum number of bytes discarded by one read.
+	discardBufferSize = 4 << 10
+	// hangupCheckInterval is the time between checks for a disconnect while nothing is read.
+	hangupCheckInterval = 25 * time.Millisecond
 )
 
-// connState is the state in which handling a command leaves a client's connection.
+// connState is the state of a client's connection after a command has been handled.
 type connState uint8
 
 const (
 	connOpen      connState = iota // further commands are read
 	connClosing                    // nothing more is read; the client may still read its replies
-	connMalformed                  // like connClosing, but no command can be found in what follows
+	connMalformed                  // like connClosing, but what follows can't be parsed into commands
 	connGone                       // the client has disconnected
 )
 
@@ -37,24 +43,24 @@
 	gone           bool               // the client has disconnected; owned by the event loop
 	reader         *commandReader     // owned by the reader's goroutine
 	replies        *replyQueue
-	draining       atomic.Bool  // the connection is to be closed between requests
-	evicting       atomic.Bool  // it is drained for want of descriptors, so a partial command is given less time
-	pendingReplies atomic.Int64 // commands whose reply is not written
+	draining       atomic.Bool  // the connection is closed once no request is in flight
+	evicting       atomic.Bool  // draining for lack of descriptors; shortens the time for partial commands
+	pendingReplies atomic.Int64 // commands whose replies have not been written
 	openRequests   atomic.Int64 // requests without a final reply that the policy decides about
-	awaitsRoom     atomic.Bool  // the reader waits for a reply to be written, or for bytes to read ahead
-	readingStopped atomic.Bool  // what arrives stays unread
-	aheadCharge    atomic.Int64 // bytes acquired for what is read ahead
+	awaitsRoom     atomic.Bool  // the reader waits for space in the reply queue, or for bytes to read ahead
+	readingStopped atomic.Bool  // the reader reads nothing more; bytes that arrive stay unread
+	aheadCharge    atomic.Int64 // bytes of the memory budget held by bytes that are read ahead
 	hasCommand     atomic.Bool  // a command has been received
-	lastReplyAt    atomic.Int64 // when the last reply was written, or the connection accepted; policy.Time
+	lastReplyAt    atomic.Int64 // time of the last reply, or of the accept if there was none; policy.Time
 
-	lingering   atomic.Bool   // all replies are written, and the client is given time to read them, ...
-	lingerEnd   atomic.Int64  // ... until then, ...
-	lingerLimit atomic.Int64  // ... and until then while replies are not acknowledged; policy.Time
-	readEnded   chan struct{} // closed when the reader has ended
+	lingering   atomic.Bool   // all replies are written, and the client is given time to read them
+	lingerEnd   atomic.Int64  // when lingering ends if all replies are acknowledged; policy.Time
+	lingerLimit atomic.Int64  // when lingering ends in any case; policy.Time
+	readEnded   chan struct{} // closed when the reader's goroutine ends
 }
 
-// newClientConn makes a connection that may have been queued at the listener since the given time; 0
-// if it was accepted at once.
+// newClientConn returns the state of an accepted connection. queuedSince is the earliest time from which it
+// may have waited in the listener's queue, or 0 if it was accepted immediately.
 func newClientConn(s *Server, nc *socket.Conn, queuedSince policy.Time) *clientConn {
 	c := &clientConn{
 		srv:       s,
@@ -69,8 +75,8 @@
 	return c
 }
 
-// firstBytesSince returns since when bytes may lie unread on a new connection. Where the system can't
-// tell when they arrived, they count from the earliest time at which they may have.
+// firstBytesSince returns the earliest time at which the unread bytes of a new connection may have arrived.
+// If the system reports when the last bytes arrived, the result is no earlier than that.
 func (c *clientConn) firstBytesSince(queuedSince, now policy.Time) policy.Time {
 	since := c.srv.loop.stalls.arrivedSince(now)
 	if queuedSince != 0 {
@@ -82,16 +88,16 @@
 	return since
 }
 
-// closeWhenIdle has the connection closed as soon as it has no request in flight.
+// closeWhenIdle makes the reader close the connection as soon as no request is in flight on it.
 func (c *clientConn) closeWhenIdle() {
 	if !c.draining.Swap(true) {
 		c.interruptRead()
 	}
 }
 
-// isEvictable reports whether the connection may be closed for want of descriptors: it is idle, and
-// has sent a command or was accepted before newSince. The first command of a new connection is
-// probably on its way, and would be lost.
+// isEvictable reports whether the connection may be closed for lack of descriptors: it is idle, and it has
+// sent a command or was accepted before newSince. On a newer connection the first command is probably on its
+// way and would be lost.
 func (c *clientConn) isEvictable(newSince policy.Time) bool {
 	if c.pendingReplies.Load() != 0 || c.draining.Load() {
 		return false
@@ -99,8 +105,8 @@
 	return c.hasCommand.Load() || c.lastReplyAt.Load() < newSince
 }
 
-// readLoop handles commands until the connection ends or takes no more, and then waits until it may
-// be closed.
+// readLoop handles commands until the client disconnects or no more commands are accepted on the connection.
+// It then waits until the connection may be closed.
 func (c *clientConn) readLoop() {
 	defer c.srv.wg.Done()
 	defer close(c.readEnded)
@@ -118,14 +124,13 @@
 	}
 }
 
-// reportGone has the event loop end the client's requests.
+// reportGone makes the event loop end the client's requests.
 func (c *clientConn) reportGone() {
 	c.srv.loop.post(func() { c.srv.loop.clientGone(c) })
 }
 
-// awaitHangup waits until the client has disconnected or the connection may be closed. It reads
-// nothing: a request that is read would have to be answered, while the client sends one once more
-// that was left unread.
+// awaitHangup waits until the client has disconnected or the connection may be closed. It reads nothing: a
+// request that has been read must be answered, whereas the client sends an unread one again.
 func (c *clientConn) awaitHangup() {
 	c.readingStopped.Store(true)
 	for {
@@ -140,10 +145,10 @@
 	}
 }
 
-// discard reads and drops what the client sends behind a malformed command, for as long as replies
-// are due and the client may read them. A client that sends all before it reads, and a short error
-// reply, would otherwise not meet. While requests are in flight there is no other bound: the client's end
-// would stay hidden behind what is left unread.
+// discard reads and drops what the client sends after a malformed command until the connection may be closed.
+// Without it, a client that sends everything before it reads would block and never read the error reply.
+// maxDiscarded bounds the bytes only once all replies are written: before that, unread bytes would hide a
+// disconnect of the client.
 func (c *clientConn) discard() {
 	buf := make([]byte, discardBufferSize)
 	for total := 0; total < maxDiscarded || c.pendingReplies.Load() > 0; {
@@ -156,7 +161,7 @@
 			return
 		case c.lingerOver():
 			return
-		default: // the deadline was that of a command, or the read was interrupted
+		default: // the deadline of a command has passed, or the writer has interrupted the read
 			c.nc.SetReadDeadline(time.Time{})
 			if c.lingering.Load() {
 				c.nc.SetReadDeadline(time.Now().Add(c.lingerWait()))
@@ -166,7 +171,7 @@
 	c.awaitHangup()
 }
 
-// enqueueResult is what came of a command's reply slot.
+// enqueueResult is the outcome of queueing a command's reply slot.
 type enqueueResult uint8
 
 const (
@@ -175,9 +180,9 @@
 	enqueueGone                   // the client has disconnected
 )
 
-// enqueue queues the reply slot of a command. While the queue is full, what the client sends is read
-// ahead. When no more of it can be, the command is rejected if requests of the client are open, as its end
-// must not stay hidden; else the rest of what it sends waits.
+// enqueue queues the reply slot of a command. While the queue is full, it reads ahead what the client sends.
+// When no more can be read ahead, the command is rejected if the client has open requests, because unread
+// bytes would hide a disconnect. If it has none, the remaining bytes stay unread until the queue has space.
 func (c *clientConn) enqueue(slot *replySlot) enqueueResult {
 	c.pendingReplies.Add(1)
 	if c.replies.tryAdd(slot) {
@@ -186,7 +191,8 @@
 	c.awaitsRoom.Store(true)
 	defer c.awaitsRoom.Store(false)
 	for {
-		// The writer interrupts the wait for bytes from here on.
+		// The deadline is set before tryAdd: a writer that frees space after tryAdd changes the deadline and
+		// so ends the wait below.
 		c.nc.SetReadDeadline(time.Now().Add(hangupCheckInterval))
 		switch {
 		case c.replies.tryAdd(slot):
@@ -205,24 +211,23 @@
 		default:
 			await = c.nc.AwaitHangup
 		}
-		_ = await() // its error, if it is not the deadline, shows with the next look
+		_ = await() // the next iteration notices any error other than the deadline
 	}
 }
 
-// reply queues a reply of the router's own and leaves the connection open.
+// reply queues a reply that the router itself gives, and leaves the connection open.
 func (c *clientConn) reply(reply []byte) connState {
 	slot := newReplySlot(c.srv.memory)
 	switch c.enqueue(slot) {
 	case enqueueGone:
 		return connGone
 	case enqueued:
-		slot.fill(reply) // only now, as the writer releases the reply's memory
+		slot.fill(reply) // only once queued: fill acquires memory that the writer releases
 	}
 	return connOpen
 }
 
-// replyAndLeave queues the last reply, one of the router's own, and returns the next state of the
-// connection.
+// replyAndLeave queues the last reply of the connection, which the router itself gives, and returns next.
 func (c *clientConn) replyAndLeave(reply []byte, next connState) connState {
 	slot := newReplySlot(c.srv.memory)
 	c.pendingReplies.Add(1)
--- a/internal/router/client_socket.go
+++ b/internal/router/client_socket.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// interruptRead has the pending read and further ones time out at once.
+// interruptRead makes the pending read and all further ones time out immediately.
 func (c *clientConn) interruptRead() { c.nc.SetReadDeadline(time.Now()) }
 
-// hungUp reports whether the client has closed its side of the connection or reset it, even if
-// bytes that were sent before are not read yet. It is false as well if that cannot be told.
+// hungUp reports whether the client has closed its side of the connection or reset it, even if bytes that
+// it sent before are still unread. It returns false if that can't be determined.
 func (c *clientConn) hungUp() bool {
 	hungUp, err := c.checkHangup()
 	return err == nil && hungUp
 }
 
-// maxUnreadBeforeEnd is the number of unread bytes from which on a client's end may wait in its own machine
-// until the router's machine can take more. The receive window is larger on any system.
+// maxUnreadBeforeEnd is the number of unread bytes from which on the receive window may be full. A client's
+// FIN is then not sent until the router reads. The receive window is larger than this on any system.
 const maxUnreadBeforeEnd = 16 << 10
 
-// errEndHidden reports that a client's end can't be seen behind bytes that are about to be read.
-var errEndHidden = errors.New("the end of the connection would be hidden behind unread bytes")
+// errEndHidden reports that unread bytes, which will be read, may hide a disconnect of the client.
+var errEndHidden = errors.New("unread bytes may hide a disconnect of the client")
 
-// errEndUnknown reports that a client's end can't be seen behind bytes that stay unread.
-var errEndUnknown = errors.New("the end of the connection can't be seen, as nothing more is read")
+// errEndUnknown reports that a disconnect of the client can't be detected, because bytes that will not be
+// read are in front of it.
+var errEndUnknown = errors.New("disconnect of the client can't be detected: the connection is no longer read")
 
-// checkHangup is like hungUp, but fails if it cannot be told whether the client has disconnected.
+// checkHangup is like hungUp, but returns an error if it can't determine whether the client has disconnected.
 func (c *clientConn) checkHangup() (bool, error) {
 	if c.nc == nil {
 		return false, nil // a request without a client, as in tests
--- a/internal/router/client_writer.go
+++ b/internal/router/client_writer.go
@@ -11,14 +11,19 @@
 )
 
 const (
-	writeTimeout       = 5 * time.Second        // for a reply to a client that does not read
-	writeRetryInterval = 100 * time.Millisecond // between attempts to write to a socket that took nothing
-	maxRejectionBatch  = 512                    // rejections that are written at once
-	maxReplyBatch      = 16 << 10               // bytes of replies to which no more is added
-	lingerTime         = time.Second            // for a client to read the last reply before its connection is closed
+	// writeTimeout is the timeout of writing a batch of replies to a client that does not read.
+	writeTimeout = 5 * time.Second
+	// writeRetryInterval is the time after which a blocked write is tried again.
+	writeRetryInterval = 100 * time.Millisecond
+	// maxRejectionBatch is the maximum number of rejections in one write.
+	maxRejectionBatch = 512
+	// maxReplyBatch is the size in bytes from which on no further replies are added to a batch.
+	maxReplyBatch = 16 << 10
+	// lingerTime is the time that a client has to read the last reply before its connection is closed.
+	lingerTime = time.Second
 )
 
-// writeLoop sends the replies in the order of the commands and then closes the connection.
+// writeLoop writes the replies in the order of the commands and then closes the connection.
 func (c *clientConn) writeLoop() {
 	defer c.srv.wg.Done()
 	connected, answered := true, false
@@ -37,8 +42,8 @@
 		c.srv.memory.release(batch.charge)
 		c.repliesDone(batch.replies)
 	}
-	// Connections that were never answered are closed at once: while they linger, they occupy
-	// descriptors that queued connections need. A request that has just arrived is unread.
+	// A connection on which nothing was answered is closed immediately: lingering would occupy a
+	// descriptor that a queued connection needs. A request that has just arrived on it is still unread.
 	if connected && answered {
 		c.linger()
 	}
@@ -46,16 +51,16 @@
 	c.srv.removeClient(c)
 }
 
-// replyBatch holds replies that are written at once.
+// replyBatch holds replies that are written with one call.
 type replyBatch struct {
-	wire    []byte // nil stands for no reply
-	charge  int64  // bytes of the memory budget
-	replies int
+	wire    []byte // encoded replies; nil if the last slot got no reply
+	charge  int64  // bytes of the memory budget held by the replies and their requests
+	replies int    // number of slots in the batch
 }
 
-// collectReplies waits for the reply of a slot and adds those behind it that are there.
+// collectReplies waits for the reply of a slot and appends the following replies that are already available.
 func (c *clientConn) collectReplies(slot *replySlot) replyBatch {
-	// What is added must not be written behind the reply in memory that others use.
+	// Clip makes append copy the reply, as its backing array may be shared.
 	batch := replyBatch{wire: slices.Clip(c.awaitReply(slot)), replies: 1}
 	batch.charge = slot.charge + int64(len(batch.wire))
 	for batch.wire != nil && len(batch.wire) < maxReplyBatch {
@@ -67,7 +72,7 @@
 		batch.charge += slot.charge + int64(len(reply))
 		batch.replies++
 		if reply == nil {
-			_ = c.writeReply(batch.wire) // the connection ends behind it
+			_ = c.writeReply(batch.wire) // the connection is closed after these replies
 			batch.wire = nil
 			break
 		}
@@ -76,8 +81,8 @@
 	return batch
 }
 
-// awaitReply returns the reply of a slot. It is nil if the client is gone or the event loop has
-// ended without one.
+// awaitReply waits for the reply of a slot. It returns nil if the client is gone or the event loop has ended
+// without a reply.
 func (c *clientConn) awaitReply(slot *replySlot) []byte {
 	select {
 	case reply := <-slot.reply:
@@ -85,15 +90,15 @@
 	case <-c.srv.loop.done:
 	}
 	select {
-	case reply := <-slot.reply: // the loop's last one
+	case reply := <-slot.reply: // the loop filled the slot just before it ended
 		return reply
 	default:
 		return nil
 	}
 }
 
-// writeReply sends a reply and reports whether the client is still connected. Without a reply, or
-// if it cannot be sent, it closes the connection; the reader then reports the client as gone.
+// writeReply writes a reply and reports whether the client is still connected. If there is no reply or the
+// write fails, it closes the connection; the reader then reports the client as gone.
 func (c *clientConn) writeReply(reply []byte) bool {
 	if reply != nil && c.writeAll(reply) == nil {
 		return true
@@ -102,7 +107,8 @@
 	return false
 }
 
-// writeRejections rejects so many commands and reports whether the client is still connected.
+// writeRejections writes a rejection for each of the given number of commands and reports whether the client
+// is still connected.
 func (c *clientConn) writeRejections(commands int) bool {
 	for commands > 0 {
 		batch := min(commands, maxRejectionBatch)
@@ -114,8 +120,8 @@
 	return true
 }
 
-// writeAll writes all bytes within the timeout. It does not rely on the event that a socket has room
-// again, as there is none where a write was refused for want of memory.
+// writeAll writes all bytes within writeTimeout. It retries at a fixed interval instead of relying on the
+// socket to become writable, since no such event follows a write that failed for lack of memory.
 func (c *clientConn) writeAll(b []byte) error {
 	timeout := time.Now().Add(writeTimeout)
 	for {
@@ -128,8 +134,8 @@
 	}
 }
 
-// repliesDone notes that so many replies are written. If the connection is to be closed and no other
-// reply is due, it interrupts the reader.
+// repliesDone records that the given number of replies are done. If the connection is draining and no other
+// reply is pending, it interrupts the reader, which then closes the connection.
 func (c *clientConn) repliesDone(replies int) {
 	c.lastReplyAt.Store(c.srv.loop.clock())
 	if c.pendingReplies.Add(-int64(replies)) == 0 && c.draining.Load() {
@@ -137,9 +143,9 @@
 	}
 }
 
-// linger lets the client read the last reply. Closing a connection while bytes are unread or still
-// arrive, of an oversized command or of a request that crosses the close, resets it, and replies
-// that are not acknowledged would be lost.
+// linger keeps the connection half-open so that the client can read the last reply. If bytes are unread or
+// still arrive when a connection is closed (the rest of an oversized command, or a request that crosses the
+// close), the system resets it, and replies that the client's machine has not acknowledged are lost.
 func (c *clientConn) linger() {
 	now := c.srv.loop.clock()
 	idle := now-c.lastReplyAt.Load() > c.srv.lingerTime.Microseconds()
@@ -161,13 +167,13 @@
 	<-c.readEnded
 }
 
-// lingerWait is how long to wait before lingerOver is asked again.
+// lingerWait returns how long to wait before the next call of lingerOver.
 func (c *clientConn) lingerWait() time.Duration {
 	remaining := time.Duration(c.lingerEnd.Load()-c.srv.loop.clock()) * time.Microsecond
 	return max(remaining, hangupCheckInterval)
 }
 
-// lingerOver reports whether the client has had the time to read the last reply.
+// lingerOver reports whether the client has had enough time to read the last reply.
 func (c *clientConn) lingerOver() bool {
 	now := c.srv.loop.clock()
 	switch {
@@ -179,8 +185,9 @@
 	return !c.nc.HasUnacknowledged()
 }
 
-// lingerTime is shorter on a connection that is evicted. Otherwise many clients that ignore the
-// router's end of their connections would shut out the PING that checks whether it is ready.
+// lingerTime returns how long the connection lingers. The time is shorter on an evicted connection:
+// otherwise many clients that do not react to the router closing their connections would keep out the
+// connection whose PING checks whether the router is ready.
 func (c *clientConn) lingerTime() time.Duration {
 	if c.evicting.Load() {
 		return min(evictGrace, c.srv.lingerTime)
--- a/internal/router/command_arrival.go
+++ b/internal/router/command_arrival.go
@@ -2,55 +2,55 @@
 
 import "marlstage/policy"
 
-// maxReadGap is the time in microseconds that a connection may go without a read before what is
-// unread by then counts as having arrived in that time.
+// maxReadGap is the time in microseconds without a read after which unread bytes of a connection count as
+// possibly having arrived at any time since the last read.
 const maxReadGap = 20_000
 
-// minDataAge is the age in microseconds from which on bytes count as older than their read. The system
-// tells it by a clock that ticks every 1 to 10 ms.
+// minDataAge is the minimum age in microseconds, as reported by the system, at which bytes count as having
+// arrived before their read. The system measures the age with a clock that ticks every 1 to 10 ms.
 const minDataAge = 20_000
 
-// arrivalTime tells since when the bytes that were read last may have been there. A client counts
-// the timeout of a request from when it has sent it, however long the request lies unread because
-// the replies to earlier ones have to be written first.
+// arrivalTime estimates when the bytes that were read last arrived. A client counts the timeout of a request
+// from when it sent the request, even if the request stays unread because the replies to earlier ones have
+// to be written first.
 type arrivalTime struct {
-	at         policy.Time // by which the last bytes had not arrived yet, or had just arrived
+	at         policy.Time // earliest time at which the last bytes may have arrived
 	readAt     policy.Time // end of the last read
-	previousAt policy.Time // end of the read before
-	filled     bool        // the last read filled its buffer, so there may have been more
+	previousAt policy.Time // end of the read before the last one
+	filled     bool        // the last read filled its buffer, so more bytes may have been available
 }
 
-// mayHaveWaited reports whether bytes that are unread now may have arrived long ago.
+// mayHaveWaited reports whether bytes that are unread now may have arrived some time ago.
 func (t *arrivalTime) mayHaveWaited(now policy.Time) bool {
 	return t.filled || now-t.readAt > maxReadGap
 }
 
-// noteRead takes a read that has just ended. waited is true if bytes were unread before it although
-// they may have arrived long ago; filled is true if it filled its buffer.
+// noteRead records a read that has just ended. waited reports whether bytes were unread before the read that
+// may have arrived some time ago; filled reports whether the read filled its buffer.
 func (t *arrivalTime) noteRead(now policy.Time, waited, filled bool) {
 	switch {
 	case !waited:
 		t.at = now
 	case !t.filled:
-		t.at = t.readAt // the read before this one took all that was there
+		t.at = t.readAt // the previous read returned everything that had arrived
 	}
 	t.previousAt, t.readAt, t.filled = t.readAt, now, filled
 }
 
-// noteDataAge takes how many microseconds before the last read the last bytes arrived, as the system
-// tells. A process that is stalled reads late what arrived meanwhile, though its reader was waiting
-// for it. What arrived before the previous read was read with that.
+// noteDataAge records how many microseconds before the last read the last bytes arrived, as reported by the
+// system. A stalled process reads late what arrived during the stall, although its reader was waiting. Bytes
+// that arrived before the previous read were returned by that read.
 func (t *arrivalTime) noteDataAge(age policy.Time) {
 	if age >= minDataAge {
 		t.at = min(t.at, max(t.readAt-age, t.previousAt))
 	}
 }
 
-// noteStall takes the earliest time at which the bytes of the last read may have arrived, as the process
-// was stalled before. What arrived before the previous read was read with that.
+// noteStall records the earliest time at which the bytes of the last read may have arrived if the process was
+// stalled before the read. Bytes that arrived before the previous read were returned by that read.
 func (t *arrivalTime) noteStall(since policy.Time) { t.at = min(t.at, max(since, t.previousAt)) }
 
-// noteEmptyRead takes a read or a look that has found no bytes.
+// noteEmptyRead records a read or a check that found no bytes.
 func (t *arrivalTime) noteEmptyRead(now policy.Time) {
 	t.readAt, t.filled = now, false
 }
--- a/internal/router/command_reader.go
+++ b/internal/router/command_reader.go
@@ -11,23 +11,28 @@
 )
 
 const (
-	minReadBuffer  = 1 << 10                 // bytes of a read buffer when it is first allocated
-	maxIdleBuffer  = 8 << 10                 // bytes of the buffer that a connection keeps between commands
-	commandTimeout = 2200 * time.Millisecond // for a connection's first command, and for the rest of any partial one
-	evictGrace     = 100 * time.Millisecond  // for the rest of a partial command on a connection that is evicted
+	// minReadBuffer is the initial size in bytes of a read buffer.
+	minReadBuffer = 1 << 10
+	// maxIdleBuffer is the maximum size in bytes of the buffer that a connection keeps between commands.
+	maxIdleBuffer = 8 << 10
+	// commandTimeout is the timeout of a connection's first command, and of the rest of any partial command.
+	commandTimeout = 2200 * time.Millisecond
+	// evictGrace is the timeout of the rest of a partial command on a connection that is being evicted. It
+	// also bounds the linger time of such a connection.
+	evictGrace = 100 * time.Millisecond
 )
 
-// errCommandTimeout says that the rest of a command did not come in time. What may still come of it has
-// not been read.
+// errCommandTimeout reports that the rest of a command did not arrive in time. Bytes of it that arrive later
+// stay unread. Its text is sent to clients.
 var errCommandTimeout = errors.New("the command did not come whole in time")
 
-// errIdleClose says that the connection is to be closed, and that no command is lost with it.
+// errIdleClose reports that the connection is to be closed and that no command is lost by that.
 var errIdleClose = errors.New("connection closed between commands")
 
 var errCommandTooBig = errors.New("too big a command")
 
-// protocolError says that what a client sent is not a command, or not a complete one. The
-// connection ends with it, since the next command cannot be found.
+// protocolError reports that a client sent something that is no command, or an incomplete one. The connection
+// is closed after it, since the start of the next command can't be determined.
 type protocolError struct{ err error }
 
 func (e *protocolError) Error() string { return "protocol error: " + e.err.Error() }
@@ -42,17 +47,18 @@
 // commandReader reads commands from a client's connection.
 type commandReader struct {
 	conn     *clientConn
-	buf      []byte      // received, and not yet handled
-	deadline time.Time   // for the first command, or the rest of a partial one; zero if none is due
-	evicting bool        // the deadline has been brought forward, as the connection is evicted
+	buf      []byte      // bytes received and not yet handled
+	deadline time.Time   // of the first command, or of the rest of a partial one; zero if none is pending
+	evicting bool        // the deadline has been brought forward because the connection is being evicted
 	arrival  arrivalTime // of the last bytes in buf
-	ahead    readAhead   // received behind buf while the reply queue was full
+	ahead    readAhead   // bytes that follow buf, received while the reply queue was full
 	late     int         // bytes read by readArrived since the last command
-	last     lastCommand // how the reading ends, once it does
+	last     lastCommand // state of the last command, once no further one may begin
 }
 
-// newCommandReader makes a reader that expects the first command in time: a silent peer must not
-// occupy a descriptor for ever. Bytes that are unread by now may have arrived since the given time.
+// newCommandReader returns a reader with a deadline for the first command, so that a silent peer does not
+// occupy a descriptor forever. unreadSince is the earliest time at which bytes that are unread now may have
+// arrived.
 func newCommandReader(c *clientConn, unreadSince policy.Time) *commandReader {
 	return &commandReader{
 		conn:     c,
@@ -61,8 +67,8 @@
 	}
 }
 
-// readCommands reads and handles commands until the connection takes no more. It returns
-// connClosing, connMalformed or connGone, and why.
+// readCommands reads and handles commands until no more are accepted on the connection. It returns
+// connClosing, connMalformed or connGone, and the reason.
 func (c *clientConn) readCommands() (connState, closeReason) {
 	r := c.reader
 	for {
@@ -81,7 +87,7 @@
 	}
 }
 
-// readFailed answers an error of commandReader.next.
+// readFailed handles an error of commandReader.next. It queues an error reply where the protocol has one.
 func (c *clientConn) readFailed(err error) (connState, closeReason) {
 	var malformed *protocolError
 	switch {
@@ -96,8 +102,8 @@
 	}
 }
 
-// incompleteReply returns the reply to a command that did not come whole in time. Where the router gave
-// it less time than usual, the client did nothing wrong and may send the command again.
+// incompleteReply returns the reply to a command that did not arrive completely in time. If the router
+// allowed less time than usual, the client did nothing wrong, and BUSY tells it to send the command again.
 func (c *clientConn) incompleteReply() []byte {
 	if c.reader.last.isNext || c.reader.evicting {
 		return []byte(resp.BusyReply)
@@ -105,7 +111,7 @@
 	return (&protocolError{errCommandTimeout}).reply()
 }
 
-// idleCloseReason returns why the router closes the connection between commands.
+// idleCloseReason returns the reason for which the router closes the connection between commands.
 func (c *clientConn) idleCloseReason() closeReason {
 	switch {
 	case c.reader.last.afterQuit:
@@ -121,8 +127,8 @@
 	}
 }
 
-// next returns the next command, its arguments and its bytes. Both are valid until the bytes are
-// consumed. An error is a *protocolError, errIdleClose, or one of the connection.
+// next returns the arguments and the bytes of the next command. Both are valid until the bytes are consumed.
+// An error is a *protocolError, errCommandTimeout, errIdleClose, or an error of the connection.
 func (r *commandReader) next() (args [][]byte, raw []byte, err error) {
 	for {
 		args, used, err := resp.NextCommand(r.buf)
@@ -144,14 +150,14 @@
 func (r *commandReader) consume(n int) {
 	rest := r.buf[n:]
 	if cap(r.buf) > maxIdleBuffer && len(rest) <= maxIdleBuffer {
-		// A connection that once had a large command must not keep the memory for it.
+		// Don't keep the memory of a large command for the lifetime of the connection.
 		r.buf = bytes.Clone(rest)
 		return
 	}
 	r.buf = append(r.buf[:0], rest...)
 }
 
-// fill adds what one read returns to the buffer. It may return without an error and without bytes.
+// fill appends the result of one read to the buffer. It may add no bytes and still return no error.
 func (r *commandReader) fill() error {
 	r.grow()
 	if r.takeAhead() {
@@ -172,7 +178,7 @@
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return err
 	case r.deadline.IsZero() || time.Now().Before(r.deadline):
-		return nil // closeWhenIdle has interrupted the read: the next one checks whether to close
+		return nil // interruptRead has ended the read: the next call checks whether to close
 	case len(r.buf) > 0:
 		return r.readArrived(errCommandTimeout)
 	default:
@@ -180,13 +186,13 @@
 	}
 }
 
-// readWhileNotEnding waits for bytes of any command until the reading of connections ends.
+// readWhileNotEnding waits for bytes and reads them, unless the server has stopped reading new commands.
 func (r *commandReader) readWhileNotEnding(b []byte) (int, error) {
 	return r.conn.nc.ReadWhile(b, func() bool { return !r.conn.srv.readingEnded.Load() })
 }
 
-// readWith adds what one call of read returns to the buffer, to the given number of bytes there, and
-// notes when it has arrived.
+// readWith appends the result of one call of read to the buffer, whose length does not exceed most bytes, and
+// records when the bytes arrived.
 func (r *commandReader) readWith(read func([]byte) (int, error), most int) (n int, err error) {
 	loop := r.conn.srv.loop
 	waited := r.lookForUnread()
@@ -196,7 +202,7 @@
 		age, ageErr := r.conn.nc.LastDataAge()
 		now := loop.clock()
 		r.arrival.noteRead(now, waited, len(r.buf) == most)
-		// A system that tells the age of the last bytes does not tell that of those before them.
+		// The system reports the age of the last bytes only, so a stall is recorded in any case.
 		r.arrival.noteStall(loop.stalls.arrivedSince(now))
 		if ageErr == nil {
 			r.arrival.noteDataAge(age.Microseconds())
@@ -207,7 +213,7 @@
 	return n, err
 }
 
-// lookForUnread reports whether bytes are unread that may have arrived long ago.
+// lookForUnread reports whether there are unread bytes that may have arrived some time ago.
 func (r *commandReader) lookForUnread() bool {
 	now := r.conn.srv.loop.clock()
 	if !r.arrival.mayHaveWaited(now) {
@@ -220,9 +226,10 @@
 	return false
 }
 
-// readArrived takes the last look at the socket before the connection is given up for a reason, which
-// it returns if nothing has arrived. The deadline of a read may pass without a look, and a request
-// that arrived before must be served. After many bytes without a command it looks no more.
+// readArrived makes a last read without waiting before the connection is closed for the given reason. It
+// returns that reason if nothing has arrived. The deadline of a read may pass although bytes have arrived,
+// and a request that arrived in time must be served. After more than resp.MaxCommandSize bytes without a
+// complete command it returns the reason without a read.
 func (r *commandReader) readArrived(reason error) error {
 	if r.late > resp.MaxCommandSize {
 		return reason
@@ -235,15 +242,15 @@
 	return err
 }
 
-// grow makes room for a read in a full buffer.
+// grow enlarges the buffer if it is full.
 func (r *commandReader) grow() {
 	if len(r.buf) == cap(r.buf) {
 		r.buf = append(make([]byte, 0, max(minReadBuffer, 2*cap(r.buf))), r.buf...)
 	}
 }
 
-// updateDeadline sets the deadline for the rest of a partial command, and brings it forward once if
-// the connection is evicted.
+// updateDeadline sets the deadline of the rest of a partial command, and brings it forward once if the
+// connection is being evicted.
 func (r *commandReader) updateDeadline() {
 	if len(r.buf) == 0 {
 		return
@@ -260,7 +267,7 @@
 	}
 }
 
-// unhandled returns how many bytes were read that no command has been taken from.
+// unhandled returns the number of bytes that were read but belong to no handled command.
 func (r *commandReader) unhandled() int { return len(r.buf) + len(r.ahead.bytes) }
 
 func (r *commandReader) clearDeadline() {
@@ -269,9 +276,9 @@
 	r.late = 0
 }
 
-// closesBetweenRequests reports whether the connection is to be closed and is between requests. While
-// requests are in flight it is read on, as a command that follows them on an open connection has to
-// be accepted.
+// closesBetweenRequests reports whether the connection is draining and has no pending reply. While replies
+// are pending, the router continues to read, because it has to accept a command that follows on an open
+// connection.
 func (c *clientConn) closesBetweenRequests() bool {
 	return c.draining.Load() && c.pendingReplies.Load() == 0
 }
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -6,8 +6,7 @@
 	"marlstage/policy"
 )
 
-// discoveryClientConfig returns the part of the configuration that binds the
-// client of the discovery service.
+// discoveryClientConfig returns the configuration of the discovery client.
 func discoveryClientConfig(cfg *config.Config) discovery.ClientConfig {
 	return discovery.ClientConfig{
 		Address:         cfg.Discovery,
@@ -20,7 +19,7 @@
 	return discovery.NewClient(discoveryClientConfig(cfg))
 }
 
-// applyEndpoints applies an endpoint list, after which the next watch continues.
+// applyEndpoints applies an endpoint list. The next watch asks for the changes since its version.
 func (l *eventLoop) applyEndpoints(list discovery.EndpointList, kind policy.UpdateKind) {
 	l.endpointsVersion = list.Version
 	l.watchBackoff.Reset()
@@ -29,16 +28,16 @@
 	l.updateEndpoints(list, kind)
 }
 
-// applyReplacedEndpoints applies a list from a discovery service that has been replaced by another,
-// which is silent so far. The calls to the other go on as if the list had not come: they ask for the
-// changes since the version known at the move.
+// applyReplacedEndpoints applies a list from a replaced discovery service while the new service has not sent a
+// list yet. The list does not affect the calls to the new service: they ask for the changes since the version
+// known at the move.
 func (l *eventLoop) applyReplacedEndpoints(list discovery.EndpointList) {
 	l.updateEndpoints(list, list.Kind())
 	l.startTimes.contactLost()
 }
 
-// updateEndpoints updates the pools from an endpoint list and queues it for the policy. Both get its
-// start times by the loop's clock.
+// updateEndpoints updates the pools from an endpoint list and queues the list for the policy. Both get the
+// start times converted to the loop's clock.
 func (l *eventLoop) updateEndpoints(list discovery.EndpointList, kind policy.UpdateKind) {
 	list.Endpoints = l.startTimes.convert(&list, kind, l.now)
 	l.updatePools(&list)
@@ -46,8 +45,8 @@
 	l.pendingEvents = append(l.pendingEvents, &policy.EndpointsUpdate{Kind: kind, Endpoints: list.Endpoints})
 }
 
-// updatePools updates the pool of each listed endpoint. Where the list is a
-// snapshot, it takes the pools of all others out of service.
+// updatePools updates the pool of each listed endpoint. If the list is a snapshot, it takes the pools of all
+// other endpoints out of service.
 func (l *eventLoop) updatePools(list *discovery.EndpointList) {
 	listed := make(map[string]bool, len(list.Endpoints))
 	for i, endpoint := range list.Endpoints {
@@ -69,7 +68,7 @@
 	}
 }
 
-// hasInServicePool reports whether a cache server accepts requests.
+// hasInServicePool reports whether any cache is in service.
 func (l *eventLoop) hasInServicePool() bool {
 	for _, p := range l.pools {
 		if p.inService {
--- a/internal/router/last_command.go
+++ b/internal/router/last_command.go
@@ -11,19 +11,23 @@
 )
 
 const (
-	lastCommandGrace = 100 * time.Millisecond // for the rest of the command at which the reading of a connection ends
-	maxLastReads     = 1 << 10                // of that rest; a proper command of a quick client needs a few dozen
+	// lastCommandGrace is the time for the rest of the last command of a connection to arrive.
+	lastCommandGrace = 100 * time.Millisecond
+	// maxLastReads is the maximum number of reads for that rest. A valid command of a fast client needs a
+	// few dozen.
+	maxLastReads = 1 << 10
 )
 
-// lastCommand is how the reading of a connection ends that the router closes in the middle of commands.
+// lastCommand is the state of the last command of a connection that the router closes while the client may
+// still be sending commands.
 type lastCommand struct {
-	isNext    bool      // the command that is being read is the last one; if there is none, nothing more is read
-	due       time.Time // when it has to be complete
-	reads     int       // of its rest
-	afterQuit bool      // the client has sent a QUIT
+	isNext    bool      // the command being read is the last one; if none has begun, nothing more is read
+	due       time.Time // deadline of its last byte
+	reads     int       // number of reads for its rest
+	afterQuit bool      // the client has sent QUIT
 }
 
-// isEnding reports whether no further command may be begun.
+// isEnding reports whether no further command may begin.
 func (r *commandReader) isEnding() bool {
 	if !r.last.isNext && r.conn.srv.readingEnded.Load() {
 		r.end()
@@ -31,16 +35,16 @@
 	return r.last.isNext
 }
 
-// end has the connection end with the command that is being read, if there is one. Its rest may have
-// arrived already.
+// end makes the command that is being read, if any, the last one of the connection. Its rest may already have
+// arrived.
 func (r *commandReader) end() {
 	r.last.isNext = true
 	r.last.due = time.Now().Add(lastCommandGrace)
 }
 
-// readLast takes what may still be read of a connection that is to end: the first command, if it has
-// had none, and the rest of a command of which a part has been read. Nothing is read beyond that
-// command, as each that is read has to be answered, while a client sends an unread one once more.
+// readLast reads what may still be read on a connection that is ending: the first command if none has been
+// received, and the rest of a partial command. It reads nothing after that command, because each command that
+// has been read must be answered, whereas the client sends an unread one again.
 func (r *commandReader) readLast() error {
 	switch {
 	case len(r.buf) > 0:
@@ -52,8 +56,9 @@
 	}
 }
 
-// readRest reads at most the rest of the partial command in the buffer. An inline command, which no
-// proper client sends, has an end that is not known in advance: it would be read byte by byte.
+// readRest reads no more than the rest of the partial command in the buffer. It does not read the rest of an
+// inline command, which no valid client sends: its length is not known in advance, so it would have to be
+// read byte by byte.
 func (r *commandReader) readRest() error {
 	if r.last.reads++; r.buf[0] != redcon.Array || r.last.reads > maxLastReads {
 		return errCommandTimeout
@@ -70,5 +75,5 @@
 	if _, err := r.readWith(r.conn.nc.Read, most); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	return nil // the next look is the last one
+	return nil // the next call makes a last read without waiting
 }
--- a/internal/router/read_ahead.go
+++ b/internal/router/read_ahead.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	maxReadAhead  = 4 * resp.MaxCommandSize // bytes of a connection that are read ahead
-	readAheadStep = 16 << 10                // bytes acquired for one read
+	// maxReadAhead is the number of bytes of one connection from which on no more are read ahead.
+	maxReadAhead = 4 * resp.MaxCommandSize
+	// readAheadStep is the number of bytes acquired from the memory budget for one read.
+	readAheadStep = 16 << 10
 )
 
-// readAhead holds bytes that were read before the commands ahead of them could be handled.
+// readAhead holds bytes that were read before the commands in front of them could be handled.
 type readAhead struct {
 	bytes []byte
-	since policy.Time // by which the first of them had not arrived yet, ...
-	until policy.Time // ... and when the last was read
+	since policy.Time // earliest time at which the first of them may have arrived
+	until policy.Time // when the last of them was read
 }
 
-// readMore reads what has arrived while the reply queue is full. Left unread it would fill the
-// receive window, and a client's end behind it would stay hidden while attempts for it begin. It reports
-// false if something is left unread, as no more may be read ahead.
+// readMore reads what has arrived while the reply queue is full. Left unread, the bytes would fill the receive
+// window and hide a disconnect of the client, for which attempts would still begin. It reports false if
+// bytes stay unread because no more may be read ahead.
 func (r *commandReader) readMore() bool {
 	memory := r.conn.srv.memory
 	if len(r.ahead.bytes) == 0 {
-		// What had arrived by the last look was read with that.
+		// Bytes that had arrived by the last read were returned by it.
 		r.ahead.since = max(r.arrival.readAt, r.ahead.until)
 	}
 	r.ahead.until = r.conn.srv.loop.clock()
@@ -37,14 +39,14 @@
 		r.conn.aheadCharge.Add(int64(n))
 		r.ahead.bytes = append(r.ahead.bytes, step[:n]...)
 		if n == 0 || err != nil {
-			return true // hungUp shows the end of the connection, and the next read its error
+			return true // hungUp detects the end of the connection, and the next read returns its error
 		}
 	}
 	return true
 }
 
-// takeAhead moves bytes that were read ahead to the free part of the buffer and reports whether there
-// were any.
+// takeAhead moves bytes that were read ahead to the free part of the buffer. It reports false if there are
+// none.
 func (r *commandReader) takeAhead() bool {
 	if len(r.ahead.bytes) == 0 {
 		return false
@@ -59,7 +61,7 @@
 	return true
 }
 
-// dropAhead gives up what was read ahead and releases its memory.
+// dropAhead discards what was read ahead and releases its memory.
 func (r *commandReader) dropAhead() {
 	r.ahead.bytes = nil
 	r.conn.srv.memory.release(r.conn.aheadCharge.Swap(0))
--- a/internal/router/reply_queue.go
+++ b/internal/router/reply_queue.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// replyQueue holds the replies of a connection that are not written, in the order of the commands. The
-// connection's reader adds to it, and its writer takes from it.
+// replyQueue holds the reply slots of a connection that have not been written, in the order of the commands.
+// The connection's reader adds slots, and its writer takes them.
 //
-// Commands beyond those that may await their replies are rejected, so that the reader need not stop: a
-// client's end behind bytes that nobody reads can't be seen. Those in a row share one slot.
+// Commands beyond maxPipelined may be rejected, so that the reader can continue: unread bytes would hide a
+// disconnect of the client. Consecutive rejections share one slot.
 type replyQueue struct {
 	mu      sync.Mutex
 	slots   []*replySlot
-	pending int           // slots of single commands among them
+	pending int           // slots of single commands, without those of rejections
 	closed  bool          // no more slots are added
-	added   chan struct{} // has capacity one; receives when a slot has been added or the queue is closed
+	added   chan struct{} // capacity 1; receives a value when a slot is added or the queue is closed
 }
 
 func newReplyQueue() *replyQueue { return &replyQueue{added: make(chan struct{}, 1)} }
 
-// tryAdd adds the slot of a command and reports true, unless as many commands as may await their replies.
+// tryAdd adds the slot of a command. It reports false if maxPipelined commands await their replies already.
 func (q *replyQueue) tryAdd(slot *replySlot) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -28,7 +28,7 @@
 	return true
 }
 
-// addLast adds the slot of a command behind which the connection takes no more, however many there are.
+// addLast adds the slot of the last command of the connection, whatever the length of the queue.
 func (q *replyQueue) addLast(slot *replySlot) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -53,7 +53,7 @@
 	q.signal()
 }
 
-// close ends the queue. The slots that it holds are still taken.
+// close marks the end of the queue. Slots that are already in it can still be taken.
 func (q *replyQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// next waits for the next slot and removes it. It returns nil at the end of the queue.
+// next waits for a slot, removes it and returns it. It returns nil once the queue is closed and empty.
 func (q *replyQueue) next() *replySlot {
 	for {
 		slot, ended := q.take()
@@ -79,7 +79,7 @@
 	}
 }
 
-// takeReady removes the first slot if its reply is there, and returns nil if not.
+// takeReady removes and returns the first slot if its reply is available. Otherwise it returns nil.
 func (q *replyQueue) takeReady() *replySlot {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -89,7 +89,7 @@
 	return q.removeFirst()
 }
 
-// take removes the first slot, or reports whether there will be none any more.
+// take removes and returns the first slot. If the queue is empty, it reports whether the queue is closed.
 func (q *replyQueue) take() (slot *replySlot, ended bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -15,18 +15,25 @@
 )
 
 const (
-	lateAcceptTime  = 500 * time.Millisecond // after SIGTERM, in which clients may still open connections
-	maxDrainTimeout = 3 * time.Second        // of the longest request timeout, as much as counts before SIGKILL
-	killDelay       = 700 * time.Millisecond // beyond the longest timeout; SIGKILL may follow then
-	maxStall        = 150 * time.Millisecond // for which the process may be stalled between two steps
-	replyTravelTime = 50 * time.Millisecond  // for a reply to reach the client's machine
-
-	// Beyond the longest timeout, when the last replies are due. The process may be stalled before it
-	// notices SIGTERM, and again between the time that a reply is due and its write.
+	// lateAcceptTime is the time after SIGTERM during which clients may still open connections.
+	lateAcceptTime = 500 * time.Millisecond
+	// maxDrainTimeout bounds the longest request timeout in the computation of the drain time, because
+	// the time until SIGKILL has the same bound.
+	maxDrainTimeout = 3 * time.Second
+	// killDelay is the time beyond the longest timeout after which SIGKILL may follow SIGTERM.
+	killDelay = 700 * time.Millisecond
+	// maxStall is the longest time for which the process is expected to be stalled between two steps.
+	maxStall = 150 * time.Millisecond
+	// replyTravelTime is the time that a reply may take to reach the client's machine.
+	replyTravelTime = 50 * time.Millisecond
+
+	// lastReplyDelay is the time beyond the longest timeout at which the last replies are due. The process
+	// may be stalled before it notices SIGTERM, and again between the time that a reply is due and its
+	// write.
 	lastReplyDelay = killDelay - 2*maxStall - replyTravelTime
 
-	// After the last replies are due, for clients that are slow to read theirs: to write the last one,
-	// and for their machines to acknowledge it.
+	// lastWriteTime is the time after the last replies are due that is left for slow clients: to write the
+	// last reply, and for the client's machine to acknowledge it.
 	lastWriteTime = 2 * writeTimeout
 )
 
@@ -45,19 +52,22 @@
 	closing chan struct{}            // closed when only connections already queued by the kernel are accepted
 	ended   chan struct{}            // closed when no more connections are accepted
 
-	acceptStalledSince policy.Time // from when on connections may have been queued; 0 if they are not; owned by the accept loop
+	// acceptStalledSince is the earliest time from which connections may have waited in the listener's
+	// queue; 0 if none may have. It is owned by the accept loop.
+	acceptStalledSince policy.Time
 
-	readingEnded atomic.Bool // no command is read any more on a connection that has had one
+	// readingEnded is set when connections end after the command that is being read on them.
+	readingEnded atomic.Bool
 
-	drainTime         time.Duration // after SIGTERM, when the last replies are due
-	lateAcceptTime    time.Duration // after SIGTERM, in which clients may still open connections
+	drainTime         time.Duration // from SIGTERM until the last replies are due
+	lateAcceptTime    time.Duration // after SIGTERM, during which clients may still open connections
 	commandTimeout    time.Duration // for a client to send a complete command
-	acceptBackoff     time.Duration // before a descriptor is sought again
+	acceptBackoff     time.Duration // before the accept loop tries again
 	firstCommandGrace time.Duration // before a connection without a command may be evicted
 	lingerTime        time.Duration // for a client to read the last reply before its connection is closed
 }
 
-// New makes a server and opens its listener.
+// New returns a server with an open listener. Run starts serving.
 func New(cfg *config.Config) (*Server, error) {
 	descriptors := newDescriptorBudget(cfg.Limits.Sockets)
 	loop, err := newEventLoop(cfg, descriptors)
@@ -87,10 +97,10 @@
 	}, nil
 }
 
-// Run serves until ctx ends, then drains and returns. It fails if connections can no longer be
+// Run serves until ctx ends, then drains and returns. It returns an error if connections can no longer be
 // accepted.
 func (s *Server) Run(ctx context.Context) error {
-	// The event loop outlives ctx: it is needed to drain.
+	// The event loop has its own context, because it has to outlive ctx for the drain.
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	defer func() {
 		s.loop.statistics.log(s.loop.logger)
@@ -111,17 +121,17 @@
 	return nil
 }
 
-// drainTimeFor returns how long after SIGTERM the last replies are due, where the longest timeout of
-// a request is the given one. SIGKILL must not find a request unanswered, and clients that have not
-// heard of the end of the router must find it serving.
+// drainTimeFor returns the time from SIGTERM until the last replies are due. maxTimeout is the longest timeout
+// of a request. All requests must be answered before SIGKILL, and the router must still serve clients that
+// do not know yet that it terminates.
 func drainTimeFor(maxTimeout policy.Time) time.Duration {
 	timeout := min(time.Duration(maxTimeout)*time.Microsecond, maxDrainTimeout)
 	return max(timeout+lastReplyDelay, lateAcceptTime)
 }
 
-// drain answers the requests that have been accepted, by the time that the last replies are due.
-// Connections are accepted for a while, and then those that the kernel has queued. acceptEnded
-// reports the end of the accept loop.
+// drain answers the accepted requests by the time that the last replies are due. It lets the accept loop
+// accept connections for lateAcceptTime, and then those that the kernel has queued. acceptEnded receives a
+// value when the accept loop ends.
 func (s *Server) drain(acceptEnded <-chan error) {
 	s.loop.logger.Info("draining", "connections", s.descriptors.clientConns.Load(), "last_replies_in", s.drainTime)
 	lastReplies := time.After(s.drainTime)
@@ -156,13 +166,13 @@
 func (s *Server) awaitDrained(acceptEnded <-chan error) {
 	<-acceptEnded
 	s.listener.Close()
-	s.closeIdleClients() // no client is added any more
+	s.closeIdleClients() // includes clients accepted since the last call; no more are added
 	s.wg.Wait()
 }
 
-// endReading has the client connections closed once all commands that have been read are answered.
-// A client that sends on and on would else keep its connection open until SIGKILL, which leaves
-// commands unanswered.
+// endReading makes the client connections close once all commands that have been read are answered.
+// Otherwise a client that sends without a pause would keep its connection open until SIGKILL, which would
+// leave commands unanswered.
 func (s *Server) endReading() {
 	s.readingEnded.Store(true)
 	s.mu.Lock()
@@ -173,8 +183,8 @@
 	}
 }
 
-// setAcceptDeadline has a pending Accept return at the given time. A listener without deadlines is
-// closed instead.
+// setAcceptDeadline makes a pending Accept return at the given time. It closes a listener that does not
+// support deadlines.
 func (s *Server) setAcceptDeadline(at time.Time) {
 	listener, ok := s.listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
@@ -193,22 +203,21 @@
 	}
 }
 
-// MoveDiscovery has the router watch another discovery service from now on. The endpoints that it
-// knows stay in use.
+// MoveDiscovery makes the router watch another discovery service from now on. The known endpoints stay in use.
 func (s *Server) MoveDiscovery(addr string) {
 	moved := *s.cfg
 	moved.Discovery = addr
 	s.loop.post(func() { s.loop.moveDiscovery(&moved) })
 }
 
-// Logger returns the router's log. A log that nobody reads does not block its callers.
+// Logger returns the router's logger. Its callers do not block, even if nobody reads the log.
 func (s *Server) Logger() *slog.Logger { return s.loop.logger.Logger }
 
-// SetLogLevel sets the level from which on lines are logged; it is that of information at first. At
-// that of debugging there are lines for each request, attempt and connection.
+// SetLogLevel sets the minimum level of logged lines. The initial level is slog.LevelInfo. At slog.LevelDebug
+// the router logs each request, attempt and connection.
 func (s *Server) SetLogLevel(level slog.Level) { s.loop.logger.level.Set(level) }
 
-// closeIdleClients has each client connection closed as soon as it has no request in flight.
+// closeIdleClients makes each client connection close as soon as it has no request in flight.
 func (s *Server) closeIdleClients() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +226,7 @@
 	}
 }
 
-// startClient serves a client's connection, whose descriptor has been acquired.
+// startClient starts the goroutines of an accepted connection, whose descriptor has been acquired.
 func (s *Server) startClient(nc *socket.Conn) {
 	c := newClientConn(s, nc, s.acceptStalledSince)
 	s.mu.Lock()
@@ -228,7 +237,7 @@
 	go c.writeLoop()
 }
 
-// removeClient forgets a client whose connection is closed and releases its descriptor.
+// removeClient removes a client whose connection is closed and releases its descriptor.
 func (s *Server) removeClient(c *clientConn) {
 	s.mu.Lock()
 	delete(s.clients, c)
--- a/internal/router/stall_monitor.go
+++ b/internal/router/stall_monitor.go
@@ -8,49 +8,50 @@
 )
 
 const (
-	// heartbeatInterval is the time between two heartbeats of an event loop that has nothing to do.
+	// heartbeatInterval is the time between two heartbeats of an idle event loop.
 	heartbeatInterval = 30 * time.Millisecond
-	// minStall is the time in microseconds without a heartbeat from which on the process counts as having
-	// been stalled. Clients allow for as much beside the travel time of a reply.
+	// minStall is the time in microseconds without a heartbeat from which on the process counts as stalled.
+	// Clients tolerate a delay of this length in addition to the travel time of a reply.
 	minStall policy.Time = 40_000
-	// backlogTime is how long after a stall, in microseconds, bytes may be read for the first time that
-	// arrived during it.
+	// backlogTime is the time in microseconds after a stall during which bytes that arrived in the stall may
+	// still be unread.
 	backlogTime policy.Time = 20_000
 )
 
-// maxProbeTime is how long a probe may take, in microseconds, before it counts as lost.
+// maxProbeTime is the time in microseconds after which a probe that has not returned counts as lost.
 const maxProbeTime policy.Time = 2_000_000
 
-// stallMonitor notes the times in which the process did not run, by heartbeats that are missing, or did not get
-// to what was due. A client counts the timeout of a request from when it has sent it, and nothing else tells
-// on each system how long the request has waited for a process that was stalled or is behind. Any goroutine
-// may use it.
+// stallMonitor detects the times in which the process did not run (heartbeats are missing) or was late to
+// handle events. A client counts the timeout of a request from when it sent the request, and there is no other
+// way on all systems to find out how long the request has waited for a process that was stalled or is behind.
+// The methods may be called from any goroutine.
 type stallMonitor struct {
-	reported func(duration policy.Time) // is told of each stall
-	// sendProbe has probeReturned called once what has arrived is being read, and reports whether it can.
-	// Without it, what arrived during a stall counts as read a fixed time later.
+	reported func(duration policy.Time) // called after each stall
+	// sendProbe sends a probe and reports whether that succeeded. probeReturned is called once what has
+	// arrived by now is being read. Without a probe, bytes that arrived during a stall count as read after
+	// backlogTime.
 	sendProbe func() bool
 
 	mu       sync.Mutex
-	lastBeat policy.Time // latest time at which the process was seen running
-	begin    policy.Time // since then bytes may have arrived that are still unread, ...
-	end      policy.Time // ... until some time after this
-	probedAt policy.Time // when the probe was sent that has not returned; 0 if there is none
-	again    bool        // there was another stall since
+	lastBeat policy.Time // latest time at which the process was known to run
+	begin    policy.Time // earliest arrival of bytes that may be unread because of the last stall or delay
+	end      policy.Time // end of that stall or delay, or of the probe that followed it
+	probedAt policy.Time // when the pending probe was sent; 0 if there is none
+	again    bool        // another stall or delay has occurred since then
 }
 
 func newStallMonitor(now policy.Time, reported func(duration policy.Time)) *stallMonitor {
 	return &stallMonitor{reported: reported, sendProbe: func() bool { return false }, lastBeat: now}
 }
 
-// useProbe has probes sent by a function from now on, which reports whether it could.
+// useProbe sets the function that sends a probe and reports whether that succeeded.
 func (m *stallMonitor) useProbe(send func() bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sendProbe = send
 }
 
-// beat notes that the process runs at the given time.
+// beat records that the process runs at the given time.
 func (m *stallMonitor) beat(now policy.Time) {
 	m.mu.Lock()
 	duration := m.beatLocked(now)
@@ -60,7 +61,8 @@
 	}
 }
 
-// beatLocked returns the length of the stall that ends now; 0 if there was none.
+// beatLocked is beat for callers that hold the lock. It returns the length of the stall that ends now, or 0 if
+// there was none.
 func (m *stallMonitor) beatLocked(now policy.Time) policy.Time {
 	previous := m.lastBeat
 	m.lastBeat = max(previous, now)
@@ -71,14 +73,14 @@
 	return now - previous
 }
 
-// noteLate notes that the process gets only now to what was due at the given time, though it was running.
+// noteLate records that the process, although it was running, handles only now what was due at the given time.
 func (m *stallMonitor) noteLate(due, now policy.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.behind(due, now)
 }
 
-// behind notes that bytes may be unread which arrived since the given time.
+// behind records that bytes that arrived since the given time may be unread. The caller holds the lock.
 func (m *stallMonitor) behind(since, now policy.Time) {
 	switch {
 	case m.probedAt > 0:
@@ -88,20 +90,21 @@
 	case since >= m.end+backlogTime:
 		m.begin = since
 	default:
-		// What arrived during the stall before may still be unread, but for no longer than another one.
+		// Bytes that arrived during the previous stall may still be unread, but no longer than maxStall
+		// before this one.
 		m.begin = max(m.begin, since-maxStall.Microseconds())
 	}
 	m.end = now
 }
 
-// probeReturned notes that what arrived before the probe was sent has been read. If the process was stalled
-// meanwhile, or took long to get there, the next probe tells of the rest.
+// probeReturned records that what arrived before the probe was sent has been read. If the process was stalled
+// since then, or the probe took long, later bytes may have waited as well, and another probe covers them.
 func (m *stallMonitor) probeReturned(now policy.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	sentAt := m.probedAt
 	if sentAt == 0 {
-		return // it counts as lost
+		return // the probe already counts as lost
 	}
 	m.end, m.probedAt = now, 0
 	if (m.again || now-sentAt >= minStall) && m.sendProbe() {
@@ -110,8 +113,8 @@
 	m.again = false
 }
 
-// arrivedSince returns the earliest time at which bytes may have arrived that a waiting reader gets at the
-// given time. That it gets them now says when they arrived only if the process has been running.
+// arrivedSince returns the earliest time at which bytes may have arrived that a waiting reader receives now.
+// They have just arrived if the process was neither stalled nor late; otherwise they may be older.
 func (m *stallMonitor) arrivedSince(now policy.Time) policy.Time {
 	m.beat(now)
 	m.mu.Lock()
--- a/internal/router/start_times.go
+++ b/internal/router/start_times.go
@@ -6,44 +6,44 @@
 )
 
 const (
-	// maxListDelay is how long after a server's start the endpoint list is expected to tell of it, as
-	// long as the router is in contact with the discovery service. Slow start allows for an age that is
-	// wrong by as much.
+	// maxListDelay is the expected maximum time from a cache's start until it appears in the endpoint
+	// list, as long as the router is in contact with the discovery service. Slow start tolerates an age
+	// that is wrong by this much.
 	maxListDelay policy.Time = 500_000
-	// startRetention is how long the start of a server is kept that is no longer listed. It may be
-	// listed again without a restart.
+	// startRetention is how long the start time of a cache is kept after the cache is no longer listed,
+	// since it may be listed again without a restart.
 	startRetention policy.Time = 600_000_000
-	// startCleanupInterval is the least time between two searches for starts that are kept no longer.
+	// startCleanupInterval is the minimum time between two removals of expired start times.
 	startCleanupInterval policy.Time = 60_000_000
 )
 
-// startTimes converts the start times of the endpoint list, which follow the wall clock of the
-// servers, to the event loop's clock. The wall clock that the loop read at its start may have been
-// off, so an age by that clock counts only if it agrees with when the list told of the start.
+// startTimes converts the start times in endpoint lists, which are based on the wall clock of the caches, to
+// the event loop's clock. The wall clock that the loop read at its start may have been wrong, so an age
+// computed with it counts only if it is consistent with the time at which the start was first listed.
 type startTimes struct {
-	servers     map[string]startTime // by name
-	newest      policy.Time          // latest start ever listed, by the servers' clock ...
-	newestAt    policy.Time          // ... and when it was listed first, by the loop's
-	lastContact policy.Time          // when the last list came; 0 before the first one that is not stale
-	inContact   bool                 // the discovery service has answered each call since
-	cleanupAt   policy.Time          // before that, no start is forgotten
+	servers     map[string]startTime // by the name of the cache
+	newest      policy.Time          // latest start ever listed, by the caches' clock
+	newestAt    policy.Time          // when that start was first listed, by the loop's clock
+	lastContact policy.Time          // when the last list that was not stale arrived; 0 if there was none
+	inContact   bool                 // no call to the discovery service has failed since lastContact
+	cleanupAt   policy.Time          // time of the next removal of expired start times
 }
 
-// startTime is the start of one incarnation of a server, by two clocks.
+// startTime is the start of one incarnation of a cache, by two clocks.
 type startTime struct {
-	listed policy.Time // by the servers' clock, as the endpoint list has it
-	local  policy.Time // by the event loop's
-	goneAt policy.Time // when the list no longer had the server; 0 while it has
+	listed policy.Time // by the caches' clock, as in the endpoint list
+	local  policy.Time // by the event loop's clock
+	goneAt policy.Time // when a list first omitted or removed the cache; 0 while it is listed
 }
 
 func newStartTimes() *startTimes { return &startTimes{servers: map[string]startTime{}} }
 
-// contactLost notes that a call to the discovery service failed: later lists may tell of starts
-// that are as old as the last one.
+// contactLost records that a call to the discovery service failed. Starts in later lists may be as old as the
+// last contact.
 func (s *startTimes) contactLost() { s.inContact = false }
 
-// convert returns the endpoints of a list that arrived at the given time, with their start times by
-// the loop's clock. That of an incarnation stays as it is when the list repeats it.
+// convert returns the endpoints of a list that arrived at the time now, with their start times by the loop's
+// clock. The converted start time of an incarnation does not change when later lists repeat it.
 func (s *startTimes) convert(list *discovery.EndpointList, kind policy.UpdateKind, now policy.Time) []policy.Endpoint {
 	for _, endpoint := range list.Endpoints {
 		if endpoint.StartedAt > s.newest {
@@ -75,8 +75,8 @@
 	return converted
 }
 
-// maxAge returns how old a start may be that a list tells of now for the first time. There is no
-// bound before the router has seen a list that is up to date.
+// maxAge returns the maximum age of a start that is listed for the first time now. There is no bound before
+// the router has received a list that is not stale.
 func (s *startTimes) maxAge(now policy.Time) policy.Time {
 	switch {
 	case s.lastContact == 0:
@@ -88,15 +88,16 @@
 	}
 }
 
-// localTime returns when a server started, by the loop's clock. A start that is in the future by
-// that clock, or too old to be news, shows that the clock was off. News is then taken for as young as
-// it is expected to be, since a server that is cold can be overloaded. A start in the future may be
-// one of long ago, and precedes the newest start by as much as the servers' clock says.
+// localTime returns the start time of a cache by the loop's clock. listed is its start by the caches' clock. A
+// listed start that is in the future, or older than maxAge, shows that the loop's clock is wrong. A start that
+// seems too old then gets the age maxListDelay, because a cold cache can be overloaded. A start that seems to
+// be in the future may be an old one: its age is the time since the newest start was first listed, plus the
+// difference between the two starts by the caches' clock.
 func (s *startTimes) localTime(listed, maxAge, now policy.Time) policy.Time {
 	age := now - listed
 	switch {
 	case listed == 0:
-		return 0 // long ago
+		return 0 // 0 means that the cache started long ago
 	case age < 0:
 		return now - max(0, s.newest-listed+now-s.newestAt)
 	case age > maxAge:
@@ -106,7 +107,7 @@
 	}
 }
 
-// noteUnlisted notes which servers a snapshot does not list.
+// noteUnlisted records which caches a snapshot does not list.
 func (s *startTimes) noteUnlisted(endpoints []policy.Endpoint, now policy.Time) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -120,7 +121,7 @@
 	}
 }
 
-// forgetGone forgets the starts of servers that have not been listed for long.
+// forgetGone removes the start times of caches that have not been listed for startRetention.
 func (s *startTimes) forgetGone(now policy.Time) {
 	if now < s.cleanupAt {
 		return
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxUnusableReplies bounds the watches that the loop retries in a row, after replies that can't
-	// be used, before it leaves the next one to the policy.
+	// maxUnusableReplies is the number of consecutive watches that the loop itself retries after unusable
+	// replies. The next watch is left to the policy.
 	maxUnusableReplies = 2
-	// movedRetryTime is how long after a move the loop retries each failed watch by itself, and lets
-	// the watch at the replaced service run. Changes count as notified then.
+	// movedRetryTime is the time after a move during which the loop itself retries each failed watch and
+	// keeps the watch at the replaced service open. Changes count as notified after that time.
 	movedRetryTime policy.Time = 4_000_000
-	// maxReplacedWatches bounds the watches at replaced services, each of which takes a descriptor.
+	// maxReplacedWatches is the maximum number of watches at replaced services. Each uses a descriptor.
 	maxReplacedWatches = 4
-	// failureLineInterval is the least time between two log lines about failed watches.
+	// failureLineInterval is the minimum time between two log lines about failed watches.
 	failureLineInterval policy.Time = 10_000_000
 )
 
@@ -40,11 +40,10 @@
 // watch is a series of calls to one discovery service.
 type watch struct {
 	client *discovery.Client
-	moves  int // to another service before the watch began
+	moves  int // number of moves to another service before the watch began
 }
 
-// runWatch runs a watch until it fails. Unlike the other methods it runs in a
-// goroutine of its own.
+// runWatch runs a watch until it fails. Unlike the other methods, it runs in its own goroutine.
 func (l *eventLoop) runWatch(ctx context.Context, w watch, version int64) {
 	err := w.client.Watch(ctx, version, func(list discovery.EndpointList) {
 		l.post(func() { l.listReceived(w, list) })
@@ -52,8 +51,7 @@
 	l.post(func() { l.watchEnded(w, err) })
 }
 
-// listReceived applies a list, unless a service that replaced the one it comes from has delivered a
-// list before.
+// listReceived applies a list, unless a newer service than the one that sent it has already sent a list.
 func (l *eventLoop) listReceived(w watch, list discovery.EndpointList) {
 	if w.moves < l.movesAtList {
 		return
@@ -67,7 +65,7 @@
 	l.applyEndpoints(list, list.Kind())
 }
 
-// watchEnded handles the end of a watch. The failure of one at a replaced service is of no consequence.
+// watchEnded handles the end of a watch. It ignores the failure of a watch at a replaced service.
 func (l *eventLoop) watchEnded(w watch, err error) {
 	if w.moves < l.moves {
 		w.client.CloseIdleConnections()
@@ -76,7 +74,7 @@
 	l.watchFailed(err)
 }
 
-// cancelReplacedWatches ends the oldest watches at replaced services, but for the given number.
+// cancelReplacedWatches cancels the oldest watches at replaced services until the given number remains.
 func (l *eventLoop) cancelReplacedWatches(remaining int) {
 	for len(l.replacedWatchCancels) > remaining {
 		l.replacedWatchCancels[0]()
@@ -84,14 +82,14 @@
 	}
 }
 
-// watchFailed arranges the next watch: by a retry of the loop's own, or by telling the policy, which
-// opens it at its own pace.
+// watchFailed prepares the next watch after a failure: the loop itself schedules a retry, or it notifies the
+// policy, which opens a watch after its own backoff.
 func (l *eventLoop) watchFailed(err error) {
 	l.watching = false
 	l.startTimes.contactLost()
 	l.logWatchFailure(err)
 	if errors.Is(err, discovery.ErrOutOfOrder) {
-		l.endpointsVersion = discovery.NoVersion // the same call would get the same response for ever
+		l.endpointsVersion = discovery.NoVersion // the same call would always get the same response
 	}
 	if l.retriesWatch(err) {
 		l.retriesInARow++
@@ -103,18 +101,18 @@
 	l.pendingEvents = append(l.pendingEvents, &policy.EndpointsUpdate{Kind: policy.UpdateFailed})
 }
 
-// retriesWatch reports whether the loop itself retries a failed watch. It always does where the
-// policy opens none. Elsewhere the policy's backoff may be as long as the notification deadline
-// allows, as it spares a service that is down, and the call that failed may have been the first one
-// since the service is back. A fault of this machine or in the service's reply must not cost as much
-// again, and after a move less time is left.
+// retriesWatch reports whether the loop itself retries a failed watch. It always does if the policy opens no
+// watches. Otherwise a retry by the policy may take as long as the notification deadline allows, because the
+// policy's backoff protects a service that is down. The failed call may have been the first one since the
+// service has recovered, so a fault of this machine or an unusable reply must not cause another such delay.
+// After a move less time is left until the notification deadline.
 func (l *eventLoop) retriesWatch(err error) bool {
 	if !l.cfg.Settings.WatchRequired || l.movedAt > 0 && l.now < l.movedAt+movedRetryTime {
 		return true
 	}
 	switch discovery.ClassifyFailure(err) {
 	case discovery.LocalFault:
-		return true // at no cost for the service
+		return true // the failed call put no load on the service
 	case discovery.UnusableReply:
 		return l.retriesInARow < maxUnusableReplies
 	default:
@@ -122,7 +120,7 @@
 	}
 }
 
-// logWatchFailure logs why a watch failed, unless a line like it was logged a moment ago.
+// logWatchFailure logs why a watch failed, at most once in failureLineInterval.
 func (l *eventLoop) logWatchFailure(err error) {
 	if l.now < l.nextFailureLine {
 		return
@@ -131,9 +129,9 @@
 	l.logger.Warn("discovery watch failed", "error", err)
 }
 
-// moveDiscovery replaces the client of the discovery service by one with
-// another address. Where a watch has no cost it starts from a snapshot, as the
-// versions of the other service may differ.
+// moveDiscovery replaces the client of the discovery service by one with another address. If the settings do
+// not require a watch, so that calls have no cost, the next watch starts from a snapshot, because the versions
+// of the other service may differ.
 func (l *eventLoop) moveDiscovery(cfg *config.Config) {
 	l.logger.Info("discovery moves", "to", cfg.Discovery)
 	l.retainReplacedWatch()
@@ -151,8 +149,8 @@
 	l.startWatch()
 }
 
-// retainReplacedWatch leaves the open watch running for a while, as the service may have written a
-// list that the router has not read. Of several moves in a row only the last watches are left.
+// retainReplacedWatch keeps the open watch running for movedRetryTime, because the service may have sent a
+// list that the router has not read yet. It cancels the oldest ones beyond maxReplacedWatches.
 func (l *eventLoop) retainReplacedWatch() {
 	if !l.watching {
 		return
