--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -11,28 +11,27 @@
 )
 
 const (
-	// delayReportInterval is the time in microseconds between two reports to the engine of how late requests
-	// are handled.
+	// delayReportInterval is the time in microseconds between two delay reports to the engine.
 	delayReportInterval policy.Time = 100_000
-	// maxReportLateness is the time in microseconds by which a report may be late. After a longer stall all
-	// requests are late for a moment, which says nothing about what the router can do.
+	// maxReportLateness is the maximum time in microseconds by which a report may be late. After a longer stall
+	// all requests are delayed briefly, which says nothing about the router's capacity.
 	maxReportLateness = delayReportInterval / 2
 )
 
-// requestLimiter holds the requests that clients' readers take to the rate that the engine sets. Any goroutine
+// requestLimiter limits the rate of requests from all clients to the limit that the engine sets. Any goroutine
 // may use it.
 type requestLimiter struct {
 	limiter  *rate.Limiter
 	limited  atomic.Bool
-	reply    atomic.Pointer[[]byte] // to a request beyond the limit
-	rejected atomic.Int64           // requests beyond the limit, since the last report
+	reply    atomic.Pointer[[]byte] // reply to requests beyond the limit
+	rejected atomic.Int64           // number of requests beyond the limit since the last report
 }
 
 func newRequestLimiter() *requestLimiter {
 	return &requestLimiter{limiter: rate.NewLimiter(rate.Inf, 1)}
 }
 
-// set applies what the engine has decided.
+// set applies the engine's limit, and removes the limit if PerSecond is 0.
 func (l *requestLimiter) set(limit policy.LimitRequests) {
 	reply := resp.AppendBusy(nil, limit.RetryAfter)
 	l.reply.Store(&reply)
@@ -44,7 +43,8 @@
 	l.limited.Store(limit.PerSecond > 0)
 }
 
-// reject returns the reply to a request that is beyond the limit, or nil.
+// reject counts a request against the limit. It returns the reply if the request is to be rejected, or nil if it
+// is within the limit.
 func (l *requestLimiter) reject() []byte {
 	if !l.limited.Load() || l.limiter.Allow() {
 		return nil
@@ -53,16 +53,17 @@
 	return *l.reply.Load()
 }
 
-// delayReporter reports to the engine how late the event loop handles requests. It belongs to the event loop.
+// delayReporter reports to the engine the delay with which the event loop handles requests. It is owned by the
+// event loop.
 type delayReporter struct {
 	loop      *eventLoop
-	scheduled bool        // the next report
-	since     policy.Time // begin of the time that it is about
-	least     policy.Time // delay of a request in that time
-	taken     int         // requests in that time
+	scheduled bool        // a report is scheduled
+	since     policy.Time // start of the reporting period
+	least     policy.Time // least delay of a request in the reporting period
+	taken     int         // number of requests handled in the reporting period
 }
 
-// noteRequest takes a request that was posted at the given time and is handled now.
+// noteRequest records that a request is handled now that was posted at the given time.
 func (r *delayReporter) noteRequest(postedAt policy.Time) {
 	delay := r.loop.now - postedAt
 	if r.taken == 0 || delay < r.least {
@@ -72,7 +73,8 @@
 	r.scheduleReport()
 }
 
-// scheduleReport has a report made while there is something to tell. An idle router makes none.
+// scheduleReport starts a reporting period and schedules its report, unless one is scheduled. An idle router
+// makes no reports.
 func (r *delayReporter) scheduleReport() {
 	if r.scheduled {
 		return
@@ -81,12 +83,14 @@
 	r.scheduleNext()
 }
 
+// scheduleNext schedules the report after one interval.
 func (r *delayReporter) scheduleNext() {
 	due := r.loop.now + delayReportInterval
 	r.loop.schedule(due, func() { r.report(due) })
 }
 
-// report makes the report that was due at the given time.
+// report sends the report that was due at the given time to the engine. If it is too late it extends the
+// reporting period by one interval instead.
 func (r *delayReporter) report(due policy.Time) {
 	l := r.loop
 	if l.now > due+maxReportLateness {
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -7,40 +7,39 @@
 	"marlstage/policy"
 )
 
-// attemptState is how far an attempt has come.
+// attemptState is the progress of an attempt.
 type attemptState uint8
 
 const (
-	attemptQueued  attemptState = iota // for a connection; not a byte has been written
+	attemptQueued  attemptState = iota // waits for a connection; nothing has been written
 	attemptWriting                     // partly written
-	attemptWritten                     // completely written: the server may execute it from now on
-	attemptDone
+	attemptWritten                     // completely written; the cache may execute it
+	attemptDone                        // has its outcome
 )
 
-// String returns the state's name, as it is logged.
+// String returns the state's name in the log.
 func (s attemptState) String() string {
 	return [...]string{"queued", "writing", "written", "done"}[s]
 }
 
-// attempt is one attempt of a request, or a health check if it has no request. It has exactly one
-// outcome.
+// attempt is an attempt of a request, or a health check if request is nil. It gets exactly one outcome.
 type attempt struct {
 	request     *request
-	number      int // of the request's attempts, from 0
+	number      int // index among the request's attempts
 	pool        *pool
 	sentAt      policy.Time
 	deadline    policy.Time
-	startBefore policy.Time // the server must not begin it at or after this time; 0 for no limit
+	startBefore policy.Time // the cache must not begin to execute it at or after this time; 0 for no limit
 	state       attemptState
-	conn        *upstreamConn // that carries it; nil while it is queued and once it is done
+	conn        *upstreamConn // connection that carries it; nil while it is queued and once it is done
 }
 
-// dialDeadline is the time by which the attempt must have a connection.
+// dialDeadline returns the time by which the attempt must have a connection.
 func (a *attempt) dialDeadline() policy.Time {
 	return a.sentAt + a.pool.loop.cfg.Transport.DialTimeout
 }
 
-// dialDeadlineExceeded ends the attempt if it is still queued.
+// dialDeadlineExceeded handles the dial deadline: it ends the attempt if it is still queued.
 func (a *attempt) dialDeadlineExceeded() {
 	if a.state != attemptQueued {
 		return
@@ -48,21 +47,23 @@
 	a.finish(a.pool.missingConnResult(), nil)
 }
 
-// startWindowClosed ends the attempt unless it has been completely written. A server begins a
-// command at its last byte, and after the window it no longer drops a repeated one.
+// startWindowClosed handles the time startBefore: it ends the attempt unless it has been completely written.
+// A cache executes a command when it has received the last byte, and it recognizes a duplicate of the command
+// only until startBefore.
 func (a *attempt) startWindowClosed() {
 	if a.state == attemptQueued || a.state == attemptWriting {
 		a.abandon(policy.TimedOut)
 	}
 }
 
-// abandon stops waiting for an attempt that was cancelled or has timed out.
+// abandon ends an attempt without waiting for its reply. The result is NotSent if the command was not
+// completely written, and otherwise the given reason.
 func (a *attempt) abandon(reason policy.Result) {
 	switch a.state {
 	case attemptQueued:
 		a.finish(policy.NotSent, nil)
 	case attemptWriting:
-		// The server does not begin a command without its last byte.
+		// A cache does not execute a command without its last byte.
 		a.conn.close()
 		a.finish(policy.NotSent, nil)
 	case attemptWritten:
@@ -95,7 +96,8 @@
 	}
 }
 
-// encode returns the attempt's command: the client's, with the time that the attempt has left.
+// encode returns the command to send: a PING for a health check, and otherwise the client's command with the
+// remaining time of the attempt as its timeout.
 func (a *attempt) encode(now policy.Time) []byte {
 	if a.request == nil {
 		return resp.AppendPing(nil)
@@ -103,8 +105,8 @@
 	return a.request.command.Encode(a.deadline - now)
 }
 
-// isReply reports whether a reply has a kind that replies to the attempt's command have. If not, the
-// proper one may still come.
+// isReply reports whether the reply is of a kind that the attempt's command can get. If it is not, the actual
+// reply may still arrive.
 func (a *attempt) isReply(reply *resp.Reply) bool {
 	if a.request == nil {
 		return reply.Pong || reply.Error
@@ -112,7 +114,7 @@
 	return reply.Result == policy.Served || reply.Error
 }
 
-// resultOf returns the result that a reply gives the attempt.
+// resultOf returns the result of the attempt for the given reply.
 func (a *attempt) resultOf(reply *resp.Reply) policy.Result {
 	switch {
 	case !a.isReply(reply):
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -5,7 +5,7 @@
 	"marlstage/policy"
 )
 
-// sendAttempt starts an attempt of a request, as the policy has decided.
+// sendAttempt starts an attempt of a request that the engine has decided on.
 func (l *eventLoop) sendAttempt(s policy.Send) {
 	r, p := l.requests[s.ID], l.pools[s.Cache]
 	if r == nil || p == nil {
@@ -28,7 +28,7 @@
 	p.submit(a)
 }
 
-// sendHealthCheck starts a health check of a cache server.
+// sendHealthCheck starts a health check of a cache.
 func (l *eventLoop) sendHealthCheck(cache string) {
 	p := l.pools[cache]
 	if p == nil {
@@ -41,7 +41,7 @@
 	})
 }
 
-// attemptDone reports the outcome of an attempt to the policy. The reply is nil if none has arrived.
+// attemptDone reports the outcome of an attempt to the engine. The reply is nil if none has arrived.
 func (l *eventLoop) attemptDone(a *attempt, result policy.Result, reply *resp.Reply) {
 	if a.request == nil {
 		l.healthCheckDone(a, result, reply)
@@ -51,7 +51,8 @@
 	r.pendingAttempts--
 	l.noteOutcome(a, result)
 	if result == policy.Served && reply != nil {
-		// The first attempt that is served gives the final reply without asking the policy.
+		// The reply to the first attempt that is served becomes the final reply, without consulting the
+		// engine.
 		l.finish(r, requestServed, reply.Value)
 	}
 	ev := &policy.AttemptDone{
--- a/internal/router/budgets.go
+++ b/internal/router/budgets.go
@@ -8,18 +8,18 @@
 
 const (
 	minSockets          = config.MinSockets
-	reservedDescriptors = 48 // descriptors outside the budget: the log, the poller, discovery, short overlaps
+	reservedDescriptors = 48 // descriptors outside the budget, for the log, the poller, discovery and brief overlaps
 
-	// The budgets divide the remaining descriptors in the ratio of these shares.
+	// The remaining descriptors are divided between clients and caches in this ratio.
 	clientShare   = 3
 	upstreamShare = 2
 
-	requestMemoryDivisor = 4 // the memory limit over the part for requests in flight and pending replies
+	requestMemoryDivisor = 4 // ratio of the memory limit to the budget for open requests and unwritten replies
 )
 
-// descriptorBudget divides the process's descriptors between clients and caches, so that neither
-// side can use up those of the other. It counts those of clients; the event loop counts the
-// connections to caches itself.
+// descriptorBudget divides the process's descriptors between connections to clients and to caches, so that
+// neither side can use up the descriptors of the other. It counts client connections; the event loop counts
+// upstream connections itself.
 type descriptorBudget struct {
 	clientConns      atomic.Int64
 	freed            chan struct{} // has capacity one; receives when a client's descriptor is released
@@ -27,7 +27,7 @@
 	maxUpstreamConns int
 }
 
-// newDescriptorBudget divides the given number of descriptors.
+// newDescriptorBudget returns a budget that divides the given number of descriptors.
 func newDescriptorBudget(descriptors int) *descriptorBudget {
 	free := max(descriptors, minSockets) - reservedDescriptors
 	return &descriptorBudget{
@@ -37,12 +37,12 @@
 	}
 }
 
-// acquireClient takes a descriptor for a client's connection, if one is left.
+// acquireClient reserves a descriptor for a client connection, and returns false if none is left.
 func (b *descriptorBudget) acquireClient() bool {
 	return tryAdd(&b.clientConns, 1, b.maxClientConns)
 }
 
-// releaseClient returns a client's descriptor and wakes the accept loop if it waits for one.
+// releaseClient releases the descriptor of a client connection and wakes the accept loop if it waits for one.
 func (b *descriptorBudget) releaseClient() {
 	b.clientConns.Add(-1)
 	select {
@@ -51,27 +51,27 @@
 	}
 }
 
-// memoryBudget counts the bytes of requests in flight and of replies that are not written.
+// memoryBudget counts the bytes of open requests, and of replies that have not been written to clients.
 type memoryBudget struct {
 	inUse atomic.Int64
 	limit int64
 }
 
-// newMemoryBudget makes a budget for a process with the given memory limit in MiB.
+// newMemoryBudget returns the budget of a process with the given memory limit in MiB.
 func newMemoryBudget(limitMB int64) *memoryBudget {
 	return &memoryBudget{limit: limitMB << 20 / requestMemoryDivisor}
 }
 
-// tryAcquire counts n bytes if they are within the limit.
+// tryAcquire acquires n bytes, and returns false if that would exceed the limit.
 func (b *memoryBudget) tryAcquire(n int64) bool { return tryAdd(&b.inUse, n, b.limit) }
 
-// acquire counts n bytes, also beyond the limit.
+// acquire acquires n bytes even if that exceeds the limit.
 func (b *memoryBudget) acquire(n int64) { b.inUse.Add(n) }
 
-// release returns n bytes.
+// release releases n bytes.
 func (b *memoryBudget) release(n int64) { b.inUse.Add(-n) }
 
-// tryAdd adds delta to the counter unless that exceeds the limit.
+// tryAdd adds delta to the counter, and returns false if that would exceed the limit.
 func tryAdd(counter *atomic.Int64, delta, limit int64) bool {
 	if counter.Add(delta) > limit {
 		counter.Add(-delta)
--- a/internal/router/dial.go
+++ b/internal/router/dial.go
@@ -12,26 +12,25 @@
 )
 
 const (
-	// maxDials bounds the connections to one cache server that are being established at a time.
+	// maxDials is the maximum number of connections to one cache that are being dialed at a time.
 	maxDials = 4
-	// minDialPause and maxDialPause are the times in microseconds without dials to a server after a
-	// fault of the router's own machine. The pause doubles from one to the other.
+	// minDialPause and maxDialPause are the shortest and longest time in microseconds for which dials to a
+	// cache are paused after a fault of the router's own machine. The pause doubles with each further fault.
 	minDialPause = 10_000
 	maxDialPause = 80_000
 )
 
-// dialFault is why dials to a server are paused.
+// dialFault is the reason why dials to a cache are paused.
 type dialFault uint8
 
 const (
 	noDialFault  dialFault = iota
-	machineFault           // the router's own machine has run out of something
-	routeFault             // no route leads to the server, perhaps for a moment
+	machineFault           // the router's own machine lacks a resource
+	routeFault             // there is no route to the cache, perhaps only briefly
 )
 
-// dialMissing dials as many connections as are needed and allowed, counting the idle ones that settle
-// soon. A dial for each request of a burst would fill the server's connection table and cost
-// it time.
+// dialMissing dials as many connections as are needed and allowed. Idle connections that settle soon count as
+// available: a dial for each request of a burst would fill the cache's connection table and cost it time.
 func (p *pool) dialMissing() {
 	for p.needsConn() {
 		if !p.loop.acquireDescriptor() {
@@ -58,10 +57,10 @@
 	return available < min(len(p.queue), maxDials) && len(p.conns) < p.maxConns
 }
 
-// dialDone takes the outcome of a dial: a connection, or an error.
+// dialDone handles the outcome of a dial: a connection or an error.
 func (p *pool) dialDone(c *upstreamConn, nc *socket.Conn, err error) {
 	switch {
-	case c.closed: // while it was being established
+	case c.closed: // closed while it was being dialed
 		if nc != nil {
 			nc.Close()
 		}
@@ -75,9 +74,12 @@
 	}
 }
 
-// dialFailed handles the error of a dial. One of the peer fails the attempt at the head of the queue.
-// A dial that timed out fails none that has time left to connect: it may have been queued long after
-// the dial began. After a fault of the router's own machine all attempts wait for further dials.
+// dialFailed handles the error of a dial:
+//
+//   - After a fault of the router's own machine, dials are paused and all attempts stay queued.
+//   - After a timeout, the attempt at the head of the queue fails only if its dial deadline has passed, because
+//     it may have been queued long after the dial began.
+//   - After any other error, which the peer has caused, the attempt at the head of the queue fails.
 func (p *pool) dialFailed(c *upstreamConn, err error) {
 	c.close()
 	switch fault := classifyDialError(err); {
@@ -93,14 +95,15 @@
 	p.dispatch()
 }
 
-// failHead fails the attempt at the head of the queue, if there is one and the condition holds.
+// failHead fails the attempt at the head of the queue if there is one and it meets the condition.
 func (p *pool) failHead(condition func(*attempt) bool) {
 	if len(p.queue) > 0 && condition(p.queue[0]) {
 		p.queue[0].finish(policy.ConnectFailed, nil)
 	}
 }
 
-// pauseDials leaves out dials for a while. The dials that fail together count once.
+// pauseDials pauses dials after a fault. Errors of dials during a pause do not extend it: dials that fail
+// together count once.
 func (p *pool) pauseDials(fault dialFault) {
 	p.dialFault = fault
 	if p.loop.now < p.dialPausedUntil {
@@ -111,15 +114,16 @@
 	p.loop.schedule(p.dialPausedUntil, p.dispatch)
 }
 
-// resumeDials ends what pauseDials began, as the router's own machine is at no fault any more.
+// resumeDials ends a pause of dials and resets its length. It is called when the outcome of a dial shows that
+// the router's own machine is not at fault.
 func (p *pool) resumeDials() {
 	p.dialFault, p.dialPause, p.dialPausedUntil = noDialFault, 0, 0
 }
 
-// missingConnResult is the result of an attempt that got no connection in time.
+// missingConnResult returns the result of an attempt that got no connection in time.
 func (p *pool) missingConnResult() policy.Result {
-	// A lack of descriptors or of other resources says nothing about the server: with more servers
-	// than descriptors, healthy ones would count as unreachable.
+	// A lack of descriptors or other local resources says nothing about the cache. If there are more caches
+	// than descriptors, healthy caches would otherwise count as unreachable.
 	starved := len(p.conns) == 0 && p.dialFault != routeFault
 	if starved || p.dialFault == machineFault {
 		return policy.NotSent
@@ -127,8 +131,8 @@
 	return policy.ConnectFailed
 }
 
-// classifyDialError tells the faults of the router's own machine, as socket(2), connect(2) and
-// epoll_ctl(2) list them, from errors of the peer. Those may pass in a moment.
+// classifyDialError distinguishes faults of the router's own machine, as documented for socket(2), connect(2)
+// and epoll_ctl(2), from errors that the peer causes. The former may be transient.
 func classifyDialError(err error) dialFault {
 	var errno unix.Errno
 	if !errors.As(err, &errno) {
@@ -145,8 +149,8 @@
 	}
 }
 
-// isDialTimeout reports whether a dial ended at the router's own timeout. The system has errors of
-// its own that call themselves timeouts.
+// isDialTimeout reports whether a dial ended at the router's own timeout. Some system errors, such as
+// ETIMEDOUT, also report themselves as timeouts and do not count.
 func isDialTimeout(err error) bool {
 	var errno unix.Errno
 	var timeout net.Error
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -10,23 +10,25 @@
 // errClientGone reports that the client has disconnected.
 var errClientGone = errors.New("the client has disconnected")
 
-// clientCheckError reports that it could not be told whether the client is still connected.
+// clientCheckError reports that the check whether the client is still connected failed.
 type clientCheckError struct{ err error }
 
-func (e *clientCheckError) Error() string { return "looking at the client: " + e.err.Error() }
+func (e *clientCheckError) Error() string {
+	return "checking the client's connection: " + e.err.Error()
+}
 
 func (e *clientCheckError) Unwrap() error { return e.err }
 
-// isClientCheck reports whether the look at the client is why nothing was written.
+// isClientCheck reports whether err is a result of checkClient, so that nothing was written.
 func isClientCheck(err error) bool {
 	var failed *clientCheckError
 	return errors.Is(err, errClientGone) || errors.As(err, &failed)
 }
 
-// clientCheckInterval is the time between checks of a client's connection that fail.
+// clientCheckInterval is the time until a failed check of a client's connection is repeated.
 const clientCheckInterval = 2 * time.Millisecond
 
-// submit sends an attempt on an idle connection, or queues it for one.
+// submit sends an attempt on an idle connection, or queues it until there is one.
 func (p *pool) submit(a *attempt) {
 	p.loop.schedule(a.deadline, func() { a.abandon(policy.TimedOut) })
 	if a.startBefore > 0 {
@@ -39,13 +41,13 @@
 	}
 }
 
-// dispatch writes queued attempts, first in, first out, to idle connections and dials where there
-// are too few.
+// dispatch writes the queued attempts, first in, first out, to idle connections, and dials new connections if
+// there are too few.
 func (p *pool) dispatch() {
 	p.closeIdle(p.idleCutoff())
 	for len(p.queue) > 0 {
 		a := p.queue[0]
-		// The loop may have taken long to get here, and a deadline may have passed since.
+		// A deadline may have passed since the loop last read the clock.
 		p.loop.now = p.loop.clock()
 		if !p.canStart(a) {
 			a.finish(policy.NotSent, nil)
@@ -63,8 +65,8 @@
 	}
 }
 
-// canStart is the last check before an attempt's first byte is written: everything may have changed
-// while it was queued.
+// canStart reports whether the first byte of an attempt's command may be written. It is evaluated right before
+// the write, because conditions may have changed while the attempt was queued.
 func (p *pool) canStart(a *attempt) bool {
 	return p.inService && p.canComplete(a)
 }
@@ -77,9 +79,10 @@
 	return now < a.deadline && inStartWindow && !requestDone
 }
 
-// checkClient returns errClientGone if the client of a request has disconnected. The event that it has
-// may still be queued, and the client's socket may have been closed before its request was read. Any
-// other error means that this cannot be told for a moment. A health check has no client.
+// checkClient returns errClientGone if the client of a request has disconnected. It checks the socket, because
+// the event that reports the disconnect may still be queued, and the client may have closed its connection
+// before its request was read. Any other error means that the check failed. It returns nil for a health check,
+// whose request is nil.
 func (r *request) checkClient() error {
 	if r == nil || r.done {
 		return nil
@@ -95,27 +98,27 @@
 	}
 }
 
-// postpone takes the attempt at the head of the queue out of it until the next check of its client. Those
-// behind it must not wait for that.
+// postpone moves the attempt at the head of the queue to the postponed ones, until its client is checked again.
+// The attempts behind it need not wait for that.
 func (p *pool) postpone(a *attempt) {
 	p.queue = p.queue[1:]
 	p.postponed = append(p.postponed, a)
 	p.loop.statistics.postponedAttempts.Add(1)
 	if len(p.postponed) > 1 {
-		return // the timer is set
+		return // the timer is already set
 	}
 	p.loop.scheduleAfter(clientCheckInterval.Microseconds(), p.resumePostponed)
 }
 
-// resumePostponed queues the postponed attempts again.
+// resumePostponed moves the postponed attempts back to the queue.
 func (p *pool) resumePostponed() {
 	p.queue = append(p.queue, p.postponed...)
 	p.postponed = nil
 	p.dispatch()
 }
 
-// dispatchWhenSettled sets a timer for when the first idle connection settles. There is one timer at
-// most: one for each call would pile up under load.
+// dispatchWhenSettled schedules a dispatch for when the connection that has been idle for longest has settled.
+// There is at most one timer per pool: under load, one for each call would accumulate.
 func (p *pool) dispatchWhenSettled() {
 	if len(p.idle) == 0 || p.settleTimerSet {
 		return
--- a/internal/router/event_loop.go
+++ b/internal/router/event_loop.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	eventQueueSize   = 1024 // functions posted to the loop before their senders wait
-	requestQueueSize = 128  // ... that take requests
+	eventQueueSize   = 1024 // functions that are queued for the loop before post blocks
+	requestQueueSize = 128  // requests that are queued for the loop before postRequest blocks
 )
 
-// policyEngine makes the decisions: *policy.Engine, or a scripted one in tests.
+// policyEngine decides how requests are handled. It is a *policy.Engine, or a scripted engine in tests.
 type policyEngine interface {
 	Handle(now policy.Time, ev policy.Event) []policy.Action
 }
 
-// eventLoop owns the policy engine and all state of requests, attempts and upstream connections.
-// Its methods run in the loop's goroutine, except clock and post, which any goroutine may call. It never blocks on a socket.
+// eventLoop owns the policy engine and all state of requests, attempts and upstream connections. Its methods run
+// in the loop's goroutine unless their comment says otherwise. The loop never blocks on a socket.
 type eventLoop struct {
 	cfg           *config.Config
 	system        socket.System
 	engine        policyEngine
 	ctx           context.Context // parent of the context of each watch
 	events        chan postedEvent
-	newRequests   chan postedEvent // handled only while there are no events: what has begun comes first
+	newRequests   chan postedEvent // handled only while events is empty, so that open requests take precedence
 	limiter       *requestLimiter
 	delayReports  *delayReporter
 	logger        *eventLogger
@@ -38,42 +38,42 @@
 	stalls        *stallMonitor
 	delay         *loopDelay
 	done          chan struct{} // closed when the loop has ended
-	started       time.Time     // a reading of the monotonic clock ...
-	startedUnix   policy.Time   // ... and of the wall clock, which may be off, at the same moment
+	started       time.Time     // when the loop was created, by the monotonic clock
+	startedUnix   policy.Time   // the same moment by the wall clock, which may be wrong
 	now           policy.Time   // time of the event being handled
-	turnBegan     policy.Time   // when the present turn began
-	turnEvents    int           // events that the engine has handled in it
+	turnBegan     policy.Time   // start of the current turn
+	turnEvents    int           // events that the engine has handled in the current turn
 	timers        timerHeap
 	pendingEvents []policy.Event // events that the engine has not handled yet
-	lastID        int64          // last number given to a request or a timer
+	lastID        int64          // last ID assigned to a request or a timer
 
 	requests      map[int64]*request
 	openRequests  int         // requests without a final reply
 	maxTimeout    policy.Time // longest timeout of any request class
-	drainDeadline policy.Time // when the last replies are due; 0 unless the router is draining
+	drainDeadline policy.Time // when the last replies of the drain are due; 0 unless the router is draining
 
 	pools         map[string]*pool // by the name of the cache
 	descriptors   *descriptorBudget
-	upstreamConns int                // connections to all caches, those being dialed included
-	idlePools     map[*pool]struct{} // those with idle connections
-	starvedPools  map[*pool]struct{} // those whose attempts wait for a descriptor
-	settleTime    policy.Time        // between a reply on an upstream connection and its next request
-	maxWriteTime  policy.Time        // for a command to a cache, once the timeout in it is computed
-	canServe      atomic.Bool        // some known cache is in service; any goroutine may read it
+	upstreamConns int                // connections to all caches, including those being dialed
+	idlePools     map[*pool]struct{} // pools with idle connections
+	starvedPools  map[*pool]struct{} // pools that could not dial because no descriptor was left
+	settleTime    policy.Time        // minimum time between a reply on a connection and the next request on it
+	maxWriteTime  policy.Time        // maximum time between encoding a command, with its timeout, and its last write
+	canServe      atomic.Bool        // a known cache is in service; any goroutine may read it
 
 	discovery        *discovery.Client
 	endpointsVersion int64 // version of the endpoint list
 	startTimes       *startTimes
 	watching         bool
-	watchBackoff     discovery.Backoff  // between watches that the engine does not ask for
-	retriesInARow    int                // watches that the loop has retried by itself since the last list
-	movedAt          policy.Time        // move to another service, from which no list has come yet; 0 if none
-	nextFailureLine  policy.Time        // before that, failed watches are not logged
-	cancelWatch      context.CancelFunc // ends the open watch
+	watchBackoff     discovery.Backoff  // between watches that the loop retries itself
+	retriesInARow    int                // consecutive watches that the loop has retried itself
+	movedAt          policy.Time        // last move to another discovery service; 0 once that has sent a list
+	nextFailureLine  policy.Time        // time before which failed watches are not logged
+	cancelWatch      context.CancelFunc // cancels the open watch
 
-	moves                int                  // to another discovery service
-	movesAtList          int                  // moves before the service was called that the last list came from
-	replacedWatchCancels []context.CancelFunc // end the watches that moves have left running, the oldest first
+	moves                int                  // number of moves to another discovery service so far
+	movesAtList          int                  // value of moves when the watch began that delivered the last list
+	replacedWatchCancels []context.CancelFunc // cancel the watches of replaced services that still run, oldest first
 }
 
 func newEventLoop(cfg *config.Config, descriptors *descriptorBudget) (*eventLoop, error) {
@@ -109,7 +109,7 @@
 	l.stalls = newStallMonitor(l.clock(), l.noteStall)
 	l.delay = &loopDelay{loop: l}
 	l.delayReports = &delayReporter{loop: l}
-	// A client's PING may be answered before the loop has applied the known endpoints.
+	// A PING may be answered before the loop has applied the configured endpoints.
 	l.canServe.Store(cfg.Known.HasInService())
 	return l, nil
 }
@@ -122,17 +122,18 @@
 	return longest
 }
 
-// clock returns Unix time in microseconds. From the start on it follows the monotonic clock, so
-// that a step of the system's clock does not move deadlines.
+// clock returns Unix time in microseconds. It advances with the monotonic clock from the loop's start, so
+// that a step of the wall clock does not move deadlines. Any goroutine may call it.
 func (l *eventLoop) clock() policy.Time {
 	return l.startedUnix + time.Since(l.started).Microseconds()
 }
 
-// post has f run by the loop. After the loop has ended it does nothing.
+// post queues f to be run by the loop, and blocks while the queue is full. After the loop has ended it does
+// nothing. Any goroutine may call it.
 func (l *eventLoop) post(f func()) { l.postTo(l.events, f) }
 
-// postRequest has f, which takes a request, run by the loop when nothing else is to be done. After the loop
-// has ended it does nothing.
+// postRequest is like post for a function that accepts a request: the loop runs it only when no other event is
+// queued.
 func (l *eventLoop) postRequest(f func()) { l.postTo(l.newRequests, f) }
 
 func (l *eventLoop) postTo(queue chan<- postedEvent, f func()) {
@@ -143,7 +144,7 @@
 	}
 }
 
-// run runs the loop until ctx ends, and then closes all upstream connections.
+// run runs the loop until ctx is done, and then closes all upstream connections.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.done)
 	if probe := newBacklogProbe(func() { l.stalls.probeReturned(l.clock()) }); probe != nil {
@@ -155,8 +156,8 @@
 	l.beginTurn()
 	l.applyKnownEndpoints()
 	if !l.cfg.Settings.WatchRequired {
-		// The engine asks for a watch only where the settings require one. Otherwise it expects
-		// updates to arrive unasked, and over real sockets that takes a watch, too.
+		// The engine requests a watch only if the settings require one. Otherwise it expects updates
+		// without a request, and over the network these need a watch as well.
 		l.startWatch()
 	}
 	l.sweepIdle()
@@ -174,7 +175,7 @@
 	}
 }
 
-// takeEvent runs an event that is there, and reports whether one was.
+// takeEvent runs the next queued event without waiting, and reports whether there was one.
 func (l *eventLoop) takeEvent() bool {
 	select {
 	case event := <-l.events:
@@ -185,7 +186,8 @@
 	}
 }
 
-// awaitEvent waits for an event, a request or the alarm, and reports false if the loop ends instead.
+// awaitEvent waits for an event, a request or the alarm, and runs the event or request. It returns false if
+// ctx is done.
 func (l *eventLoop) awaitEvent(ctx context.Context, alarm *time.Timer) bool {
 	select {
 	case <-ctx.Done():
@@ -209,29 +211,30 @@
 	event.run()
 }
 
-// beginTurn reads the clock for the next event. Each turn is a heartbeat: where nothing happens the alarm
-// makes one, so that they cost a busy router nothing.
+// beginTurn sets the current time for the next event and starts a turn. Each turn counts as a heartbeat for
+// the stall monitor. While the loop is idle the alarm starts a turn for each heartbeat, so heartbeats cost a
+// busy router nothing extra.
 func (l *eventLoop) beginTurn() {
 	l.now = l.clock()
 	l.turnBegan, l.turnEvents = l.now, 0
 	l.stalls.beat(l.now)
 }
 
-// endTurn returns the time at which the turn ends.
+// endTurn records the turn and returns the time at which it ended.
 func (l *eventLoop) endTurn() policy.Time {
 	end := l.clock()
 	l.delay.noteTurn(end)
 	return end
 }
 
-// noteStall counts and logs that the process did not run for a time in microseconds. Any goroutine may
-// call it.
+// noteStall counts and logs that the process did not run for the given time in microseconds. Any goroutine
+// may call it.
 func (l *eventLoop) noteStall(duration policy.Time) {
 	l.statistics.noteStall(duration)
 	l.logger.fault("process was stalled", "for", microseconds(duration))
 }
 
-// logStatistics logs the statistics now and then. A router that starts has none yet.
+// logStatistics logs the statistics periodically. The first line follows one interval after the start.
 func (l *eventLoop) logStatistics() {
 	l.scheduleAfter(statisticsInterval, func() {
 		l.statistics.log(l.logger)
@@ -244,8 +247,8 @@
 	known := l.cfg.Known
 	known.Snapshot = true
 	if !known.HasInService() {
-		// Without a cache in service the router is not ready. Discovery answers a call for the
-		// complete list at once, while a watch that hangs would keep the router from becoming ready.
+		// Without a cache in service the router is not ready. The discovery service answers a call for
+		// the complete list at once, whereas a watch may wait and would delay readiness.
 		known.Version = discovery.NoVersion
 	}
 	l.applyEndpoints(known, policy.UpdateStale)
@@ -258,8 +261,8 @@
 	}
 }
 
-// deliverEvents hands the pending events to the engine, in order, and performs the actions that it
-// returns. These may add further events.
+// deliverEvents passes the pending events to the engine, in order, and performs the actions that it
+// returns. Actions may add further events.
 func (l *eventLoop) deliverEvents() {
 	for len(l.pendingEvents) > 0 {
 		ev := l.pendingEvents[0]
--- a/internal/router/late_replies.go
+++ b/internal/router/late_replies.go
@@ -3,28 +3,28 @@
 import "marlstage/policy"
 
 const (
-	// lateReplyMemory is how long, in microseconds, the connections to a server rest longer that has
-	// sent a late second reply.
+	// lateReplyMemory is how long, in microseconds, a late second reply prolongs the settle time of the
+	// cache's connections.
 	lateReplyMemory = 60_000_000
-	// maxReplyLateness is the time in microseconds after a reply up to which further bytes count as a
-	// late second one. What comes later is more likely a notice before the server closes.
+	// maxReplyLateness is the maximum time in microseconds after a reply for further bytes to count as a
+	// second reply. Bytes after that are more likely a notice that the cache sends before it closes.
 	maxReplyLateness = 1_000_000
-	// maxSettleTime bounds the settle time in microseconds of a server's connections.
+	// maxSettleTime is the maximum settle time in microseconds.
 	maxSettleTime = 200_000
-	// settlePerLateness is the settle time over the longest lateness seen.
+	// settlePerLateness is the ratio of the settle time to the longest recorded lateness.
 	settlePerLateness = 4
 )
 
-// lateReplies remembers that a server has replied twice to a request, the second time after a while.
-// Replies carry no id, so a second one that arrives when the connection carries the next request is
-// taken for the reply to that; and the reply to that for the one to the request after it, and so on. The
-// second replies that reach a connection at rest show how long the others have to rest.
+// lateReplies records that a cache has sent a second reply to a request some time after the first. Replies carry
+// no ID, so a second reply that arrives while the connection carries the next request is matched to that
+// request, the reply to that request is matched to the one after it, and so on. Second replies that arrive on
+// idle connections show how long the settle time has to be to prevent this.
 type lateReplies struct {
-	longest policy.Time // time between a reply and the second one; 0 if there was none lately
-	until   policy.Time // when it is forgotten
+	longest policy.Time // longest time between a reply and the second one; 0 if there was none recently
+	until   policy.Time // when longest expires
 }
 
-// note takes a second reply.
+// note records a second reply that arrived the given time after the first.
 func (l *lateReplies) note(now, lateness policy.Time) {
 	if lateness > maxReplyLateness {
 		return
@@ -33,6 +33,7 @@
 	l.until = now + lateReplyMemory
 }
 
+// current returns the longest recorded lateness, or 0 if it has expired.
 func (l *lateReplies) current(now policy.Time) policy.Time {
 	if now >= l.until {
 		return 0
@@ -40,24 +41,24 @@
 	return l.longest
 }
 
-// settleTime returns how long a connection has to rest after a reply, where it rests for the given time
-// if the server has sent no second replies.
+// settleTime returns the settle time of the cache's connections. usual is the settle time without second
+// replies.
 func (l *lateReplies) settleTime(now, usual policy.Time) policy.Time {
 	return max(usual, min(settlePerLateness*l.current(now), maxSettleTime))
 }
 
-// settleTime is the time between a reply on a connection and the next request on it.
+// settleTime returns the minimum time between a reply on a connection and the next request on it.
 func (p *pool) settleTime() policy.Time {
 	return p.lateReplies.settleTime(p.loop.now, p.loop.settleTime)
 }
 
-// settlesSoon reports whether an idle connection can carry a request, or can after the usual settle time.
+// settlesSoon reports whether an idle connection has settled, or will have within the usual settle time.
 func (p *pool) settlesSoon(c *upstreamConn) bool {
 	return c.isNew() || c.idleSince+p.settleTime() <= p.loop.now+p.loop.settleTime
 }
 
-// noteUnsolicited counts and logs bytes of the server that no request has asked for. If the connection
-// was at rest when they arrived, they are a second reply to its last request.
+// noteUnsolicited counts and logs bytes from the cache that are not part of the reply to an outstanding request.
+// If the connection was idle when they arrived (atRest), they are recorded as a second reply to its last request.
 func (c *upstreamConn) noteUnsolicited(atRest bool) {
 	loop := c.pool.loop
 	lateness := loop.now - c.idleSince
--- a/internal/router/log_queue.go
+++ b/internal/router/log_queue.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	logQueueSize = 256                   // lines that wait for the log writer before further ones are dropped
-	logFlushTime = 50 * time.Millisecond // for the last lines to be written when the router ends
+	logQueueSize = 256                   // lines that are queued for the log writer before further lines are dropped
+	logFlushTime = 50 * time.Millisecond // maximum time to wait for the last lines to be written when the router ends
 
-	// Of lines about single requests and connections, which a fault may cause by the thousand.
+	// Rate limit of lines about faults of single requests and connections: one fault may cause thousands.
 	faultLinesPerSecond = 10
 	faultLineBurst      = 100
 )
 
-// logQueue takes log lines for the log writer. It implements io.Writer and drops lines if too many
-// wait: a log that nobody reads must not block the router.
+// logQueue is an io.Writer that queues log lines for the log writer. It drops lines while the queue is full, so
+// that a log that nobody reads does not block the router.
 type logQueue struct {
 	lines   chan []byte
-	dropped atomic.Int64 // lines that were not written
+	dropped atomic.Int64 // number of dropped lines
 }
 
 func newLogQueue() *logQueue { return &logQueue{lines: make(chan []byte, logQueueSize)} }
@@ -39,7 +39,7 @@
 	return len(line), nil
 }
 
-// writeUntil writes the queued lines until done is closed, and then those that are left.
+// writeUntil writes the queued lines until done is closed, and then the lines that are still queued.
 func (q *logQueue) writeUntil(done <-chan struct{}) {
 	for {
 		select {
@@ -56,17 +56,17 @@
 }
 
 func writeLogLine(line []byte) {
-	_, _ = log.Writer().Write(line) // nowhere is left to report that the log can't be written
+	_, _ = log.Writer().Write(line) // there is nowhere to report that the log can't be written
 }
 
-// eventLogger logs what happens in the router. Any goroutine may use it.
+// eventLogger is the router's log. Any goroutine may use it.
 type eventLogger struct {
 	*slog.Logger
 	queue      *logQueue
 	level      *slog.LevelVar
-	faultLines *rate.Limiter
-	suppressed atomic.Int64 // lines about faults that the limiter held back
-	written    chan struct{}
+	faultLines *rate.Limiter // limits the lines about faults
+	suppressed atomic.Int64  // number of lines suppressed by faultLines
+	written    chan struct{} // closed when the last line has been written
 }
 
 func newEventLogger() *eventLogger {
@@ -80,7 +80,8 @@
 	}
 }
 
-// fault logs a fault of a peer, or of the machine, that concerns a single request or connection.
+// fault logs a fault of a peer or of the machine that concerns a single request or connection, subject to the
+// rate limit.
 func (l *eventLogger) fault(message string, attributes ...any) {
 	if !l.faultLines.Allow() {
 		l.suppressed.Add(1)
@@ -89,17 +90,17 @@
 	l.Warn(message, attributes...)
 }
 
-// debugs reports whether lines for debugging are logged. Callers on the path of each request ask
-// before they put a line together.
+// debugs reports whether lines at debug level are logged. Callers on the path of each request check it before
+// they compute the attributes of a line.
 func (l *eventLogger) debugs() bool { return l.Enabled(context.Background(), slog.LevelDebug) }
 
-// run writes the lines until done is closed.
+// run writes the queued lines until done is closed.
 func (l *eventLogger) run(done <-chan struct{}) {
 	defer close(l.written)
 	l.queue.writeUntil(done)
 }
 
-// awaitWritten waits until the last lines are written, for a short time only.
+// awaitWritten waits until the last lines are written, for at most logFlushTime.
 func (l *eventLogger) awaitWritten() {
 	select {
 	case <-l.written:
--- a/internal/router/loop_delay.go
+++ b/internal/router/loop_delay.go
@@ -3,26 +3,25 @@
 import "marlstage/policy"
 
 const (
-	// minDelay is the time in microseconds by which an event is handled late from which on the event loop
-	// counts as behind.
+	// minDelay is the delay in microseconds of an event at which the event loop starts to count as behind.
 	minDelay policy.Time = 50_000
-	// longTurn is the time in microseconds from which on a turn of the event loop is logged.
+	// longTurn is the minimum duration in microseconds of an event loop turn that is logged.
 	longTurn policy.Time = 20_000
 )
 
-// postedEvent is a function that runs in the event loop, and when it was posted.
+// postedEvent is a function to be run by the event loop, with the time at which it was posted.
 type postedEvent struct {
 	run      func()
 	postedAt policy.Time
 }
 
-// loopDelay tells how late the event loop handles what it is given. It belongs to the event loop.
+// loopDelay monitors the delay with which the event loop handles events. It is owned by the event loop.
 type loopDelay struct {
 	loop   *eventLoop
-	behind bool // the last event was handled late
+	behind bool // the last event was delayed by minDelay or more
 }
 
-// noteEvent takes an event that was due at the given time and is handled now.
+// noteEvent records that an event is handled now that was due at the given time.
 func (d *loopDelay) noteEvent(dueAt policy.Time) {
 	l := d.loop
 	delay := l.now - dueAt
@@ -39,7 +38,7 @@
 	}
 }
 
-// noteTurn takes a turn of the loop that ends at the given time.
+// noteTurn records that the current turn of the loop ends at the given time.
 func (d *loopDelay) noteTurn(end policy.Time) {
 	l := d.loop
 	duration := end - l.turnBegan
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// maxFleetConns bounds the connections of all routers together to one cache server. It accepts
-	// 90, and slows down when its connection table is full.
+	// maxFleetConns is the maximum number of connections that all routers together hold to one cache. A cache
+	// accepts 90, and slows down when its connection table is full.
 	maxFleetConns = 72
-	// minConns is the least that one router may take of them.
+	// minConns is the lower limit of one router's share of maxFleetConns.
 	minConns = 2
-	// maxIdleQuarters is how long a connection may be idle, in quarters of the server's keepalive.
+	// maxIdleQuarters is how long a connection may be idle, in quarters of the cache's keepalive time.
 	maxIdleQuarters = 3
-	// defaultSettleTime is the time in microseconds between a reply on a connection and the next
+	// defaultSettleTime is the minimum time in microseconds between a reply on a connection and the next
 	// request on it.
 	defaultSettleTime = 10_000
 )
 
-// pool holds the connections to one cache server and the attempts that are queued for one. All of
-// it belongs to the event loop.
+// pool holds the connections to one cache and the attempts that wait for a connection to it. It is owned by
+// the event loop.
 type pool struct {
 	loop            *eventLoop
 	name            string
 	addr            string
-	startedAt       policy.Time // start of the server's incarnation, by the endpoint list
-	inService       bool        // by the endpoint list, new requests may be sent to the server
+	startedAt       policy.Time // start of the cache's current incarnation, from the endpoint list
+	inService       bool        // new attempts may be sent to the cache, according to the endpoint list
 	conns           map[*upstreamConn]struct{}
-	idle            []*upstreamConn // in the order of their last use
+	idle            []*upstreamConn // ordered by idleSince
 	dialing         int             // connections that are being established
-	settleTimerSet  bool            // a timer is set for when an idle connection has settled
+	settleTimerSet  bool            // a timer is set for when the first idle connection has settled
 	maxConns        int
-	dialFault       dialFault   // of the last dials, if the router's own machine was at fault
-	dialPause       policy.Time // length of the last pause of dials
+	dialFault       dialFault   // fault of the last dials on the router's own machine, if any
+	dialPause       policy.Time // length of the last pause of dials; 0 if the last dial showed no such fault
 	dialPausedUntil policy.Time
 	queue           []*attempt  // first in, first out
-	postponed       []*attempt  // of clients of which it can't be told for a moment whether they are connected
-	lateReplies     lateReplies // of the server's present incarnation
+	postponed       []*attempt  // attempts whose clients could not be checked for a disconnect
+	lateReplies     lateReplies // second replies of the cache's current incarnation
 }
 
 func newPool(l *eventLoop, name string) *pool {
@@ -49,7 +49,7 @@
 	}
 }
 
-// update applies the server's entry in the endpoint list, with its start time by the loop's clock.
+// update applies the cache's entry in the endpoint list. startedAt is its start time by the loop's clock.
 func (p *pool) update(addr string, startedAt policy.Time, inService bool) {
 	if addr != p.addr {
 		p.move(addr)
@@ -63,8 +63,8 @@
 	}
 }
 
-// move closes the connections that carry no attempt and redirects the queued attempts to the new
-// address.
+// move sets a new address of the cache. It closes the connections that are idle or being dialed, so that the
+// queued attempts go to the new address.
 func (p *pool) move(addr string) {
 	p.addr = addr
 	p.closeIdle(p.loop.now)
@@ -77,7 +77,8 @@
 	p.loop.schedule(p.loop.now, p.dispatch)
 }
 
-// restart closes the idle connections to the server's earlier incarnation.
+// restart sets the start time of a new incarnation of the cache and closes the idle connections to the previous
+// one.
 func (p *pool) restart(startedAt policy.Time) {
 	p.startedAt = startedAt
 	p.lateReplies = lateReplies{}
@@ -88,8 +89,8 @@
 	}
 }
 
-// drain ends the queued attempts, as none may be sent once the router knows that the server is
-// draining, and closes the idle connections.
+// drain ends the queued attempts and closes the idle connections. No attempt may be sent to a cache once the
+// router has been notified that it is draining.
 func (p *pool) drain() {
 	for _, a := range slices.Concat(p.queue, p.postponed) {
 		a.finish(policy.NotSent, nil)
@@ -97,7 +98,8 @@
 	p.closeIdle(p.loop.now)
 }
 
-// release takes back a connection that is ready for the next attempt.
+// release makes a connection idle whose attempt is done, or that has just been established. It closes the
+// connection if it must not carry further attempts.
 func (p *pool) release(c *upstreamConn) {
 	if !p.inService || !c.matchesEndpoint() {
 		c.close()
@@ -108,7 +110,7 @@
 	p.dispatch()
 }
 
-// setIdle sets the idle connections.
+// setIdle sets the idle connections and updates the loop's set of pools that have any.
 func (p *pool) setIdle(conns []*upstreamConn) {
 	p.idle = conns
 	if len(conns) > 0 {
@@ -118,7 +120,7 @@
 	}
 }
 
-// returnUnused takes back a connection to which nothing was written.
+// returnUnused makes a connection idle again that was taken by takeSettledConn and to which nothing was written.
 func (p *pool) returnUnused(c *upstreamConn) {
 	later := func(other *upstreamConn) bool { return other.idleSince > c.idleSince }
 	if i := slices.IndexFunc(p.idle, later); i >= 0 {
@@ -128,9 +130,9 @@
 	p.setIdle(append(p.idle, c))
 }
 
-// takeSettledConn removes the connection used last from the idle ones that have settled and returns
-// it, or nil if none has. A faulty server may send a second reply some milliseconds after the first
-// one; the settle time keeps it from being taken for the reply to the next request.
+// takeSettledConn removes and returns the most recently used of the idle connections that have settled, or
+// returns nil if none has. A faulty cache may send a second reply some milliseconds after the first one. The
+// settle time prevents such a reply from being matched to the next request on the connection.
 func (p *pool) takeSettledConn() *upstreamConn {
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		c := p.idle[i]
@@ -142,14 +144,14 @@
 	return nil
 }
 
-// idleCutoff is the time since which a connection may have been idle at most. It precedes the
-// server's own limit: a server that closes a connection as a request is written to it leaves open
-// whether the request was executed.
+// idleCutoff returns the time for closeIdle that keeps connections from reaching the cache's own idle limit. If
+// the cache closed a connection while a request is written to it, it would be unknown whether the request was
+// executed.
 func (p *pool) idleCutoff() policy.Time {
 	return p.loop.now - p.loop.cfg.Transport.Keepalive*maxIdleQuarters/4
 }
 
-// closeIdle closes the connections that have been idle since the given time or longer.
+// closeIdle closes the connections that became idle at or before the given time.
 func (p *pool) closeIdle(since policy.Time) {
 	if len(p.idle) == 0 || p.idle[0].idleSince > since {
 		return
@@ -166,7 +168,7 @@
 	p.setIdle(remaining)
 }
 
-// closeConn closes a connection that may be idle.
+// closeConn closes a connection and removes it from the idle ones if it is among them.
 func (p *pool) closeConn(c *upstreamConn) {
 	if i := slices.Index(p.idle, c); i >= 0 {
 		p.setIdle(slices.Delete(p.idle, i, i+1))
--- a/internal/router/pools.go
+++ b/internal/router/pools.go
@@ -1,13 +1,13 @@
 package router
 
 const (
-	minSweepInterval   = 1_000     // microseconds between sweeps of idle upstream connections, at least
-	sweepInterval      = 1_000_000 // microseconds between these sweeps, at most
-	sweepsPerKeepalive = 8         // sweeps within the keepalive time of a cache, at least
+	minSweepInterval   = 1_000     // minimum time in microseconds between sweeps of idle upstream connections
+	sweepInterval      = 1_000_000 // maximum time in microseconds between these sweeps
+	sweepsPerKeepalive = 8         // minimum number of sweeps within a cache's keepalive time
 )
 
-// acquireDescriptor reserves a descriptor for a connection to a cache server. If none is left, the
-// connection that has been idle for longest, to whichever server, is closed for it.
+// acquireDescriptor reserves a descriptor for an upstream connection. If none is left, it closes the connection
+// that has been idle for longest in any pool. It returns false if no connection is idle either.
 func (l *eventLoop) acquireDescriptor() bool {
 	if l.upstreamConns >= l.descriptors.maxUpstreamConns {
 		p := l.longestIdlePool()
@@ -20,8 +20,8 @@
 	return true
 }
 
-// longestIdlePool returns the pool of the connection that has been idle for longest, which is the
-// first one in its pool; nil if no connection is idle.
+// longestIdlePool returns the pool whose first idle connection has been idle for longest, or nil if no
+// connection is idle.
 func (l *eventLoop) longestIdlePool() *pool {
 	var longest *pool
 	for p := range l.idlePools {
@@ -32,8 +32,8 @@
 	return longest
 }
 
-// releaseDescriptor gives a connection's descriptor back and has queued attempts dispatched that may
-// be waiting for it.
+// releaseDescriptor releases the descriptor of an upstream connection and schedules a dispatch for the pools
+// that wait for one.
 func (l *eventLoop) releaseDescriptor() {
 	l.upstreamConns--
 	if len(l.starvedPools) == 0 {
@@ -48,9 +48,9 @@
 	})
 }
 
-// sweepIdle closes idle connections before the cache servers do and drops the pools of servers that
-// are gone, so that memory doesn't grow with every server there ever was. The policy has been
-// notified by then.
+// sweepIdle periodically closes idle connections before the caches do, and removes the pools of caches that
+// are out of service and have no connections, so that memory does not grow with each cache that has ever been
+// listed. The engine has been notified of the change by then.
 func (l *eventLoop) sweepIdle() {
 	for name, p := range l.pools {
 		p.closeIdle(p.idleCutoff())
--- a/internal/router/request_log.go
+++ b/internal/router/request_log.go
@@ -9,10 +9,10 @@
 	"marlstage/policy"
 )
 
-// externalID is the request's id on the wire.
+// externalID returns the ID of the request in the client's command.
 func (r *request) externalID() string { return string(r.command.Args[resp.IDArgument]) }
 
-// noteRejected counts and logs a request that the policy does not see.
+// noteRejected counts and logs a request that is rejected without consulting the engine.
 func (l *eventLoop) noteRejected(c *clientConn, cmd resp.Command, reason rejectReason) {
 	l.countRejected(reason)
 	if !l.logger.debugs() {
@@ -35,7 +35,7 @@
 	l.statistics.rejects[reason].Add(1)
 }
 
-// noteAccepted counts and logs a request that the policy decides about.
+// noteAccepted counts and logs a request that is reported to the engine.
 func (l *eventLoop) noteAccepted(r *request, arrivedAt policy.Time) {
 	l.statistics.requests.Add(1)
 	if !l.logger.debugs() {
@@ -45,8 +45,8 @@
 		"waited", microseconds(l.now-arrivedAt), "time_left", microseconds(r.deadline-l.now))
 }
 
-// noteDone counts and logs the end of a request. A reply that comes late is a fault: the deadline's
-// timer, or the client's reader, did not run in time.
+// noteDone counts and logs the end of a request. A late reply is logged as a fault: the timer of the deadline,
+// or the reader of the client connection, did not run in time.
 func (l *eventLoop) noteDone(r *request, result requestResult) {
 	l.statistics.results[result].Add(1)
 	late := l.now - r.deadline
@@ -55,7 +55,7 @@
 		l.logger.fault("late reply", "id", r.externalID(), "client", r.client, "result", result, "late", microseconds(late))
 	}
 	if result == requestAbandoned && late > -maxStall.Microseconds() {
-		// A client that leaves just then has perhaps waited for a reply that should have come.
+		// The client may have stopped waiting for a reply that should already have arrived.
 		l.statistics.abandonedWhenDue.Add(1)
 		l.logger.fault("client left when its reply was due", "id", r.externalID(), "client", r.client,
 			"time_left", microseconds(-late), "attempts", r.describeAttempts())
@@ -67,7 +67,7 @@
 		"time_left", microseconds(-late), "attempts", r.describeAttempts())
 }
 
-// describeAttempts lists the caches that the request's attempts went to, with their states.
+// describeAttempts lists the request's attempts, each as the name of the cache and the attempt's state.
 func (r *request) describeAttempts() string {
 	var list []string
 	for _, a := range r.attempts {
@@ -76,7 +76,7 @@
 	return strings.Join(list, " ")
 }
 
-// noteAttempt counts and logs an attempt that the policy has decided on.
+// noteAttempt counts and logs the start of an attempt.
 func (l *eventLoop) noteAttempt(a *attempt) {
 	l.statistics.attempts.Add(1)
 	if a.number > 0 {
@@ -99,7 +99,7 @@
 		"result", result, "elapsed", microseconds(l.now-a.sentAt))
 }
 
-// LogValue implements slog.LogValuer: a connection is named by the client's address.
+// LogValue implements slog.LogValuer. It returns the client's address.
 func (c *clientConn) LogValue() slog.Value {
 	if c.nc == nil {
 		return slog.StringValue("none")
@@ -107,8 +107,8 @@
 	return slog.StringValue(c.nc.RemoteAddr().String())
 }
 
-// noteClosed counts and logs why nothing more is read from the connection. unhandled is how many bytes
-// were read that no command has been taken from.
+// noteClosed counts and logs the reason why nothing more is read from the connection. unhandled is the number
+// of bytes that were read but not handled as commands.
 func (c *clientConn) noteClosed(reason closeReason, unhandled int) {
 	loop := c.srv.loop
 	loop.statistics.clientEnd[reason].Add(1)
@@ -122,4 +122,5 @@
 	loop.logger.Debug("client connection ends", attributes...)
 }
 
+// microseconds converts a time span of the policy engine to a time.Duration.
 func microseconds(t policy.Time) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -7,20 +7,21 @@
 	"marlstage/policy"
 )
 
-// request is a client's command for which the policy engine decides on attempts and a reply.
+// request is a client's command that has been reported to the policy engine, which decides on its attempts and
+// its reply.
 type request struct {
 	id              int64
 	command         resp.Command
 	deadline        policy.Time
 	client          *clientConn
 	slot            *replySlot
-	done            bool // the final reply has been given, or the client is gone
+	done            bool // the final reply has been given, or the client has disconnected
 	pendingAttempts int  // attempts without an outcome
 	attempts        []*attempt
 }
 
-// acceptRequest takes a command of a client, which arrived at the given time, and reports it to the
-// engine as a request.
+// acceptRequest creates a request for a client's command, which arrived at the given time, and reports it to
+// the engine. A command that cannot be accepted is rejected without consulting the engine.
 func (l *eventLoop) acceptRequest(c *clientConn, slot *replySlot, cmd resp.Command, arrivedAt policy.Time) {
 	if c.gone {
 		slot.fill(nil)
@@ -28,7 +29,7 @@
 	}
 	if reason, rejected := l.rejectsUnseen(); rejected {
 		l.noteRejected(c, cmd, reason)
-		slot.fill([]byte(resp.BusyReply)) // the engine does not see it, and it is never forwarded
+		slot.fill([]byte(resp.BusyReply)) // the engine is not told, and the command is never forwarded
 		return
 	}
 	cmd.Timeout = l.boundTimeout(cmd.Timeout, arrivedAt)
@@ -57,7 +58,7 @@
 	})
 }
 
-// rejectsUnseen reports whether a request can't be accepted, and why.
+// rejectsUnseen reports whether a new request is to be rejected without consulting the engine, and why.
 func (l *eventLoop) rejectsUnseen() (reason rejectReason, rejected bool) {
 	switch {
 	case l.cfg.Transport.MaxOpen > 0 && l.openRequests >= l.cfg.Transport.MaxOpen:
@@ -69,9 +70,9 @@
 	}
 }
 
-// boundTimeout limits the timeout that a client asked for. The longest timeout of the settings
-// bounds how long timers keep a request in memory. While the router drains, requests have to be
-// answered before the process is killed.
+// boundTimeout limits the timeout that a client has requested. The longest timeout in the settings is the
+// upper bound, because timers keep a request in memory until its deadline. While the router drains, requests
+// must also be answered by the drain deadline, before the process is killed.
 func (l *eventLoop) boundTimeout(timeout, arrivedAt policy.Time) policy.Time {
 	if l.maxTimeout > 0 {
 		timeout = min(timeout, l.maxTimeout)
@@ -82,15 +83,16 @@
 	return timeout
 }
 
-// beginDrain has all requests answered by the given time, as the router was told to terminate. The
-// deadlines of further requests are bounded by it.
+// beginDrain starts a drain: all open requests are answered by the given time, and the deadlines of new
+// requests are no later than that.
 func (l *eventLoop) beginDrain(lastRepliesDue policy.Time) {
 	l.drainDeadline = lastRepliesDue
 	l.schedule(lastRepliesDue, l.failOpenRequests)
 }
 
-// failOpenRequests ends the requests that were accepted before the router was told to terminate,
-// with timeouts that outlast it. An unanswered one would also hold up the replies behind it.
+// failOpenRequests fails the requests that are still open at the drain deadline: those accepted before the
+// drain with a later deadline. An unanswered request would also block the replies queued behind it on its
+// connection.
 func (l *eventLoop) failOpenRequests() {
 	for _, r := range l.requests {
 		if !r.done {
@@ -100,8 +102,9 @@
 	}
 }
 
-// resolveClientCheck ends the client's requests if a look at the client of an attempt has found it gone, and
-// the attempt if the client's end can't be seen any more. It reports false if the look is to be repeated.
+// resolveClientCheck handles an error of checkClient. If the client has disconnected it ends all of the
+// client's requests, and if a disconnect can no longer be detected it ends the attempt. It returns false for
+// any other error, after which the check is to be repeated.
 func (l *eventLoop) resolveClientCheck(a *attempt, err error) bool {
 	switch {
 	case errors.Is(err, errClientGone):
@@ -114,7 +117,7 @@
 	return true
 }
 
-// clientGone ends the requests of a client that has disconnected.
+// clientGone handles the disconnect of a client: it ends the client's requests.
 func (l *eventLoop) clientGone(c *clientConn) {
 	c.gone = true
 	for _, r := range c.requests {
@@ -123,15 +126,16 @@
 	}
 }
 
-// finishRequest gives a request its final reply, unless the request is unknown or done.
+// finishRequest is like finish for the request with the given ID, if there is one.
 func (l *eventLoop) finishRequest(id int64, result requestResult, reply []byte) {
 	if r := l.requests[id]; r != nil {
 		l.finish(r, result, reply)
 	}
 }
 
-// finish gives a request its final reply, once; nil stands for none. Attempts that are not
-// completely written are abandoned first, since nothing may be sent for a request after its reply.
+// finish gives a request its final reply; nil stands for none. Only the first call has an effect. Attempts
+// that are not completely written are abandoned first, because nothing may be sent to a cache for a request
+// that has its reply.
 func (l *eventLoop) finish(r *request, result requestResult, reply []byte) {
 	if r.done {
 		return
@@ -150,7 +154,7 @@
 	l.removeIfDone(r)
 }
 
-// removeIfDone forgets a request that has its final reply once all of its attempts have an outcome.
+// removeIfDone removes a request that is done and whose attempts all have an outcome.
 func (l *eventLoop) removeIfDone(r *request) {
 	if r.done && r.pendingAttempts == 0 {
 		delete(l.requests, r.id)
--- a/internal/router/statistics.go
+++ b/internal/router/statistics.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	statisticsInterval = 60_000_000 // microseconds between two lines of statistics
-	lateReplyMargin    = 50_000     // microseconds beyond its deadline from which on a reply counts as late
+	statisticsInterval = 60_000_000 // time in microseconds between two log lines with statistics
+	lateReplyMargin    = 50_000     // time in microseconds past the deadline after which a reply counts as late
 )
 
-// statistics counts what the router did. Any goroutine may add to it.
+// statistics holds counters since the router's start. Any goroutine may update them.
 type statistics struct {
 	requests  atomic.Int64
 	results   [requestResults]atomic.Int64
-	rejects   [rejectReasons]atomic.Int64 // without asking the policy
-	late      atomic.Int64                // final replies that came late
+	rejects   [rejectReasons]atomic.Int64 // requests rejected without consulting the engine
+	late      atomic.Int64                // final replies that were later than lateReplyMargin
 	attempts  atomic.Int64
-	retries   atomic.Int64                       // attempts of a request that had one before, hedged requests included
-	outcomes  [policy.NotStored + 1]atomic.Int64 // by policy.Result
-	clientEnd [closeReasons]atomic.Int64         // connections of clients, by why they ended
+	retries   atomic.Int64                       // attempts other than the first of a request, including hedges
+	outcomes  [policy.NotStored + 1]atomic.Int64 // attempts by policy.Result
+	clientEnd [closeReasons]atomic.Int64         // client connections by the reason of their end
 
-	unsolicited       atomic.Int64 // connections to caches that ended because of bytes nobody asked for
-	abandonedWhenDue  atomic.Int64 // requests whose client left about when their reply was due
-	postponedAttempts atomic.Int64 // times that an attempt waited as it could not be told whether its client had left
+	unsolicited       atomic.Int64 // upstream connections closed because of unsolicited bytes
+	abandonedWhenDue  atomic.Int64 // requests whose client disconnected at about their deadline or later
+	postponedAttempts atomic.Int64 // times that an attempt was postponed because the check of its client failed
 
-	commandErrors atomic.Int64 // commands that can be parsed, but that no proper client sends
-	stalls        atomic.Int64
-	longestStall  atomic.Int64 // microseconds
+	commandErrors atomic.Int64 // commands with valid framing that are otherwise invalid
+	stalls        atomic.Int64 // times that the process was stalled
+	longestStall  atomic.Int64 // in microseconds
 
-	delayedEvents atomic.Int64 // events that the event loop handled late
-	longestDelay  atomic.Int64 // microseconds by which one was
-	longestTurn   atomic.Int64 // microseconds of one turn of the event loop
+	delayedEvents atomic.Int64 // events that the event loop handled with a delay of minDelay or more
+	longestDelay  atomic.Int64 // longest such delay in microseconds
+	longestTurn   atomic.Int64 // longest turn of the event loop in microseconds
 }
 
 // requestResult is how a request ended.
@@ -43,43 +43,43 @@
 	requestServed requestResult = iota
 	requestRejected
 	requestFailed
-	requestAbandoned // the client has gone
-	requestResults   // the number of results
+	requestAbandoned // the client has disconnected
+	requestResults   // number of results
 )
 
 func (r requestResult) String() string {
 	return [requestResults]string{"served", "rejected", "failed", "abandoned"}[r]
 }
 
-// rejectReason is why a command is rejected without asking the policy.
+// rejectReason is the reason why a command is rejected without consulting the engine.
 type rejectReason uint8
 
 const (
-	rejectTooMany    rejectReason = iota // as many requests are open as the settings allow
-	rejectDraining                       // the last replies of the drain are due
-	rejectMemory                         // no memory is left for requests
-	rejectPipelined                      // too many commands of the connection await their replies
-	rejectOverloaded                     // the router is behind, and takes no more for the moment
-	rejectReasons                        // the number of reasons
+	rejectTooMany    rejectReason = iota // the number of open requests has reached the limit of the settings
+	rejectDraining                       // the drain deadline has passed
+	rejectMemory                         // the memory budget is exhausted
+	rejectPipelined                      // too many commands on the connection await their replies
+	rejectOverloaded                     // the router is overloaded and the request is beyond the engine's limit
+	rejectReasons                        // number of reasons
 )
 
 func (r rejectReason) String() string {
 	return [rejectReasons]string{"too_many_open", "draining", "no_memory", "pipelined", "overloaded"}[r]
 }
 
-// closeReason is why the connection of a client ended.
+// closeReason is the reason why nothing more is read from a client connection.
 type closeReason uint8
 
 const (
-	closedByClient     closeReason = iota
-	closedDraining                 // between requests, as the router drains
-	closedEvicted                  // between requests, for want of descriptors
-	closedSilent                   // no first command came
-	closedQuit                     // after QUIT
-	closedMalformed                // what the client sent is no command
-	closedIncomplete               // the rest of a command did not come in time
-	closedFinalReplies             // the last replies of a drain were due
-	closeReasons                   // the number of reasons
+	closedByClient     closeReason = iota // the client closed it
+	closedDraining                        // closed between requests while the router drains
+	closedEvicted                         // closed between requests for lack of descriptors
+	closedSilent                          // no command was received
+	closedQuit                            // the client sent QUIT
+	closedMalformed                       // the client sent something that is not a command
+	closedIncomplete                      // the rest of a command did not arrive in time
+	closedFinalReplies                    // the drain deadline passed
+	closeReasons                          // number of reasons
 )
 
 func (r closeReason) String() string {
@@ -88,13 +88,13 @@
 	}[r]
 }
 
-// noteStall counts a time in microseconds in which the process did not run.
+// noteStall counts a stall of the process with the given duration in microseconds.
 func (s *statistics) noteStall(duration policy.Time) {
 	s.stalls.Add(1)
 	storeMax(&s.longestStall, duration)
 }
 
-// storeMax raises a maximum to a value.
+// storeMax raises maximum to value if value is greater.
 func storeMax(maximum *atomic.Int64, value policy.Time) {
 	for {
 		largest := maximum.Load()
@@ -104,7 +104,7 @@
 	}
 }
 
-// log writes the counts since the start as one line.
+// log logs all counters as one line.
 func (s *statistics) log(logger *eventLogger) {
 	logger.Info("statistics",
 		slog.Int64("requests", s.requests.Load()),
@@ -129,7 +129,8 @@
 	)
 }
 
-// groupOf returns the counts that are not zero, by their names.
+// groupOf returns a group of the counters that are not zero. name returns the name of the counter with the given
+// index.
 func groupOf(counts []atomic.Int64, name func(int) string) slog.Value {
 	var group []slog.Attr
 	for i := range counts {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -10,11 +10,11 @@
 // timer is a function to be run by the event loop at a given time.
 type timer struct {
 	at       policy.Time
-	sequence int64 // orders timers of equal time by their creation
+	sequence int64 // orders timers with equal times by creation
 	run      func()
 }
 
-// timerHeap implements heap.Interface; its first timer is the next one due.
+// timerHeap implements heap.Interface. Its first element is the timer that is due next.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -37,16 +37,17 @@
 	return last
 }
 
-// schedule has f run by the loop at the given time.
+// schedule schedules f to be run by the loop at the given time.
 func (l *eventLoop) schedule(at policy.Time, f func()) {
 	l.lastID++
 	heap.Push(&l.timers, timer{at: at, sequence: l.lastID, run: f})
 }
 
-// scheduleAfter has f run by the loop after the given delay.
+// scheduleAfter schedules f to be run by the loop after the given delay.
 func (l *eventLoop) scheduleAfter(delay policy.Time, f func()) { l.schedule(l.now+delay, f) }
 
-// resetAlarm sets the alarm, at the given time, to the next timer due, or to the next heartbeat if that comes first.
+// resetAlarm sets the alarm to the next timer that is due, or to the next heartbeat if that comes first. now is
+// the current time.
 func (l *eventLoop) resetAlarm(alarm *time.Timer, now policy.Time) {
 	wait := heartbeatInterval
 	if len(l.timers) > 0 {
@@ -55,7 +56,8 @@
 	alarm.Reset(wait)
 }
 
-// runDueTimers runs the timers that are due and delivers the events of each before the next runs.
+// runDueTimers runs the timers that are due. It delivers the events that each of them adds before it runs the
+// next one.
 func (l *eventLoop) runDueTimers() {
 	for len(l.timers) > 0 && l.timers[0].at <= l.now {
 		heap.Pop(&l.timers).(timer).run()
--- a/internal/router/upstream_conn.go
+++ b/internal/router/upstream_conn.go
@@ -10,38 +10,38 @@
 	"marlstage/policy"
 )
 
-// upstreamConn is a connection to a cache server. It carries one attempt at a time: a server replies
-// in the order of the requests, and a fast reply must not wait for a slow one.
+// upstreamConn is a connection to a cache. It carries one attempt at a time, because a cache replies in the
+// order of the requests, and a fast reply must not wait for a slow one.
 //
-// Its reader runs in a goroutine of its own; the fields belong to the event loop except where they
-// say otherwise.
+// Its reader runs in a goroutine of its own. The fields above mu are owned by the event loop, except pool, which
+// does not change.
 type upstreamConn struct {
 	pool        *pool
 	addr        string
 	nc          *socket.Conn // nil until the connection is established
 	connectedAt policy.Time
-	attempt     *attempt     // that it carries
-	write       commandWrite // of that attempt, while it is partly written
+	attempt     *attempt     // attempt that it carries; nil if none
+	write       commandWrite // progress of that attempt while it is partly written
 	idleSince   policy.Time
 	closed      bool
 
-	// mu is held by the reader while it reads from the socket and notes what arrived, and by the
+	// mu is held by the reader while it reads from the socket and records what has arrived, and by the
 	// loop while it checks that nothing has arrived and writes.
 	mu         sync.Mutex
-	sequence   atomic.Uint32 // attempts completely written to the connection
-	replyBegun atomic.Bool   // part of a reply has been read
+	sequence   atomic.Uint32 // number of attempts completely written to the connection
+	replyBegun atomic.Bool   // part of the next reply has been read
 }
 
 // isNew reports whether no attempt has been completely written to the connection yet.
 func (c *upstreamConn) isNew() bool { return c.sequence.Load() == 0 }
 
-// matchesEndpoint reports whether the connection leads to the address and the incarnation of the
-// server that the endpoint list names.
+// matchesEndpoint reports whether the connection was made to the address and the incarnation of the cache in
+// the current endpoint list.
 func (c *upstreamConn) matchesEndpoint() bool {
 	return c.addr == c.pool.addr && c.connectedAt >= c.pool.startedAt
 }
 
-// run dials and then reads replies until the connection ends. It runs in its own goroutine.
+// run dials the connection and then reads replies until it ends. It runs in its own goroutine.
 func (c *upstreamConn) run(addr string, timeout time.Duration) {
 	loop := c.pool.loop
 	nc, err := socket.Dial(loop.system, addr, timeout)
@@ -59,7 +59,7 @@
 			return
 		}
 		buf = rest
-		// No request is outstanding for bytes behind a reply: the connection is out of step.
+		// No request is outstanding for bytes that follow a reply, so the connection is out of sync.
 		inStep := len(rest) == 0
 		sequence := in.sequence
 		in.sequence = 0
@@ -68,16 +68,16 @@
 	}
 }
 
-// replyReceived takes a reply whose first bytes arrived when the given number of attempts had been
-// completely written. inStep is false if more bytes arrived behind it.
+// replyReceived handles a reply. sequence is the number of attempts that had been completely written when the
+// first bytes of the reply arrived. inStep is false if more bytes arrived together with the end of the reply.
 func (c *upstreamConn) replyReceived(reply *resp.Reply, sequence uint32, inStep bool) {
 	if c.closed {
 		return
 	}
 	a := c.attempt
 	if a == nil || a.state != attemptWritten || sequence != c.sequence.Load() {
-		// It replies to no request, or arrived before the request was completely written. Later replies
-		// can't be assigned to requests either.
+		// No request is outstanding, or the reply arrived before the request was completely written. Later
+		// replies can't be matched to requests either.
 		c.noteUnsolicited(a == nil || a.state == attemptWritten)
 		c.connectionLost()
 		return
@@ -91,7 +91,7 @@
 	c.pool.release(c)
 }
 
-// connectionLost handles the end of the connection.
+// connectionLost closes the connection after an error, and fails the attempt that it carries.
 func (c *upstreamConn) connectionLost() {
 	c.pool.closeConn(c)
 	if a := c.attempt; a != nil {
@@ -100,7 +100,7 @@
 	c.pool.dispatch()
 }
 
-// close ends the connection. The reader gets an error from its next read.
+// close closes the connection and releases its descriptor. The reader ends with an error from its next read.
 func (c *upstreamConn) close() {
 	if c.closed {
 		return
--- a/internal/router/upstream_socket.go
+++ b/internal/router/upstream_socket.go
@@ -2,15 +2,16 @@
 
 import "marlstage/internal/socket"
 
-// sequencedReader reads from a connection's socket. With the first bytes of a reply it notes how many
-// attempts had been completely written by then.
+// sequencedReader reads replies from a connection's socket. When the first bytes of a reply arrive, it records
+// how many attempts had been completely written by then.
 type sequencedReader struct {
 	conn     *upstreamConn
 	nc       *socket.Conn
 	sequence uint32 // 0 until the first bytes of a reply have arrived
 }
 
-// Read implements io.Reader. The read and the note of it are one step for tryWrite.
+// Read implements io.Reader. It holds the connection's lock while it reads and records, so that tryWrite never
+// sees bytes that have been read but not recorded.
 func (r *sequencedReader) Read(b []byte) (int, error) {
 	return r.nc.ReadLocked(b, &r.conn.mu, r.noteSequence)
 }
@@ -22,8 +23,8 @@
 	}
 }
 
-// checkSilent returns errOutOfStep if bytes or the end of the connection have arrived since the last
-// reply. Another error means that this cannot be told for a moment.
+// checkSilent returns errOutOfStep if bytes or the end of the connection have arrived since the last reply. Any
+// other error means that the check failed.
 func (c *upstreamConn) checkSilent() error {
 	if c.replyBegun.Load() {
 		return errOutOfStep
--- a/internal/router/upstream_write.go
+++ b/internal/router/upstream_write.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// defaultMaxWriteTime is the time in microseconds that writing a command may take, from when the
-	// timeout in it was computed. The server counts that timeout from the command's last byte.
+	// defaultMaxWriteTime is the maximum time in microseconds from when the timeout in a command is computed to
+	// its last write. The cache counts that timeout from when it has received the command's last byte.
 	defaultMaxWriteTime = 100_000
-	// minWriteDelay and maxWriteDelay are the times in microseconds until a socket that took nothing
-	// is tried again. The delay doubles from one to the other.
+	// minWriteDelay and maxWriteDelay are the shortest and longest delay in microseconds before a write is
+	// retried on a socket that has accepted nothing. The delay doubles with each retry.
 	minWriteDelay = 1_000
 	maxWriteDelay = 16_000
-	// maxUninterrupted is the time in microseconds between two successive system calls beyond which
-	// the process counts as having been stalled between them.
+	// maxUninterrupted is the maximum time in microseconds from the checks before a write to the end of the
+	// write. If they take longer, the process counts as having been stalled in between.
 	maxUninterrupted = 5_000
 )
 
-// errOutOfStep reports that something has arrived on a connection before a command was complete. It
-// would be taken for the beginning of the reply, or the end of the connection for a reset after
-// which the request may have been executed.
+// errOutOfStep reports that bytes or the end of the connection have arrived before a command was completely
+// written. The bytes would be taken for the beginning of the reply, and the end of the connection for a reset
+// after which the request may have been executed.
 var errOutOfStep = errors.New("unexpected bytes or end of the connection")
 
 // commandWrite is the progress of writing an attempt's command.
 type commandWrite struct {
 	command   []byte
-	written   int         // bytes of the command
+	written   int         // number of bytes written
 	encodedAt policy.Time // when the timeout in the command was computed
-	delay     policy.Time // until the socket is tried again
+	delay     policy.Time // before the next retry
 }
 
-// writeAttempt writes the attempt at the head of the pool's queue. The socket nearly always takes
-// all of it at once. All of a command is written by the loop, so that nothing happens between the
-// check whether the attempt may go on and the last byte, at which the server begins it. It reports
-// false if it cannot be told for a moment whether the client is still there.
+// writeAttempt writes the attempt at the head of the pool's queue. The socket nearly always accepts the complete
+// command at once. Commands are written by the loop only, so that its state cannot change between the check
+// whether the attempt may continue and the write of the last byte, at which the cache begins to execute the
+// command. It returns false if the attempt is to be postponed, because it cannot be determined at present whether
+// the client is still connected.
 func (c *upstreamConn) writeAttempt(a *attempt) bool {
 	isNew := c.isNew()
 	now := c.pool.loop.now
@@ -62,10 +63,10 @@
 	return true
 }
 
-// tryWrite writes as much of the rest of a command as the socket takes at once, unless anything has
-// arrived before or the client has gone. The lock keeps bytes from being read unnoticed between the
-// check and the write. The process may be stalled at each step, most of all where it reads the clock,
-// and the client may leave meanwhile: the look at the client comes last before the write.
+// tryWrite writes as much of the rest of a command as the socket accepts at once, unless anything has arrived
+// from the cache or the client has disconnected. The lock prevents the reader from reading bytes between the
+// check and the write. The process may be stalled between any two steps, most likely where it reads the clock,
+// and the client may disconnect meanwhile. Therefore the client is checked last, right before the write.
 func (c *upstreamConn) tryWrite(a *attempt, rest []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,8 +93,8 @@
 	return n, err
 }
 
-// failUnsent closes a connection that can't carry the attempt, of which not a byte has been written.
-// The attempt stays queued for another connection. If this one was new, the attempt fails: a server
+// failUnsent closes a connection that can't carry the attempt, of which nothing has been written. The attempt
+// stays queued for another connection. If this connection was new, the attempt fails instead: otherwise a cache
 // that closes each connection it accepts would be dialed without end.
 func (c *upstreamConn) failUnsent(a *attempt, isNew bool) {
 	c.close()
@@ -102,7 +103,7 @@
 	}
 }
 
-// wrote takes the outcome of a write of n bytes.
+// wrote records a write of n bytes and handles its error, if any.
 func (c *upstreamConn) wrote(a *attempt, n int, err error) {
 	c.write.written += n
 	if c.write.written == len(c.write.command) {
@@ -114,8 +115,8 @@
 	}
 }
 
-// fail closes the connection and ends the attempt that it carries. A server does not begin a command
-// that is not complete.
+// fail closes the connection and ends the attempt that it carries. If the command was not completely written,
+// the result is ConnectFailed, because a cache does not execute an incomplete command.
 func (c *upstreamConn) fail(a *attempt) {
 	result := policy.ConnectionLost
 	if a.state == attemptWriting {
@@ -125,8 +126,8 @@
 	a.finish(result, nil)
 }
 
-// writeRemainder goes on with a command that the socket has not taken completely, and tries again
-// later if the socket takes nothing. Before each write it checks that the attempt may go on.
+// writeRemainder writes the rest of a command that the socket has not completely accepted. Before each write it
+// checks whether the attempt may continue. If the socket accepts nothing, it schedules a retry.
 func (c *upstreamConn) writeRemainder(a *attempt) {
 	for a.state == attemptWriting {
 		c.pool.loop.now = c.pool.loop.clock()
@@ -149,17 +150,17 @@
 	}
 }
 
-// scheduleWrite has the loop go on with the command after a delay.
+// scheduleWrite schedules the next write of the command after a delay.
 func (c *upstreamConn) scheduleWrite(a *attempt) {
 	c.pool.loop.scheduleAfter(c.write.delay, func() { c.writeRemainder(a) })
 	c.write.delay = min(2*c.write.delay, maxWriteDelay)
 }
 
-// canContinue checks that an attempt whose command is not complete may go on, and ends it otherwise.
+// canContinue reports whether the rest of an attempt's command may be written, and ends the attempt if not.
 func (c *upstreamConn) canContinue(a *attempt) bool {
 	now := c.pool.loop.now
 	begun := c.write.written > 0
-	// A drain binds attempts from their first byte on.
+	// A drain of the cache prevents attempts only if their first byte has not been written.
 	allowed := c.pool.canComplete(a) && (begun || c.pool.inService)
 	switch {
 	case !allowed:
@@ -168,7 +169,7 @@
 	case !begun:
 		c.write.command, c.write.encodedAt = a.encode(now), now
 	case now-c.write.encodedAt > c.pool.loop.maxWriteTime:
-		c.fail(a) // the server would count the timeout that it is sent from too late
+		c.fail(a) // the cache would count the timeout in the command from too late a time
 		return false
 	}
 	return true
