--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -101,7 +101,7 @@
 		select {
 		case <-s.ended:
 			return false
-		case <-s.descriptors.freed: // polling alone would be too slow for a long queue
+		case <-s.descriptors.clientReleased: // polling alone would be too slow for a long queue
 		case <-time.After(s.acceptBackoff): // another connection may have become idle
 		}
 	}
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -43,9 +43,9 @@
 	l.limited.Store(limit.PerSecond > 0)
 }
 
-// reject counts a request against the limit. It returns the reply if the request is to be rejected, or nil if it
+// rejection counts a request against the limit. It returns the reply if the request is to be rejected, or nil if it
 // is within the limit.
-func (l *requestLimiter) reject() []byte {
+func (l *requestLimiter) rejection() []byte {
 	if !l.limited.Load() || l.limiter.Allow() {
 		return nil
 	}
@@ -56,35 +56,35 @@
 // delayReporter reports to the engine the delay with which the event loop handles requests. It is owned by the
 // event loop.
 type delayReporter struct {
-	loop      *eventLoop
-	scheduled bool        // a report is scheduled
-	since     policy.Time // start of the reporting period
-	least     policy.Time // least delay of a request in the reporting period
-	taken     int         // number of requests handled in the reporting period
+	loop        *eventLoop
+	scheduled   bool        // a report is scheduled
+	periodStart policy.Time // start of the reporting period
+	leastDelay  policy.Time // least delay of a request in the reporting period
+	handled     int         // number of requests handled in the reporting period
 }
 
 // noteRequest records that a request is handled now that was posted at the given time.
 func (r *delayReporter) noteRequest(postedAt policy.Time) {
 	delay := r.loop.now - postedAt
-	if r.taken == 0 || delay < r.least {
-		r.least = delay
+	if r.handled == 0 || delay < r.leastDelay {
+		r.leastDelay = delay
 	}
-	r.taken++
-	r.scheduleReport()
+	r.handled++
+	r.startPeriod()
 }
 
-// scheduleReport starts a reporting period and schedules its report, unless one is scheduled. An idle router
+// startPeriod starts a reporting period and schedules its report, unless one is scheduled. An idle router
 // makes no reports.
-func (r *delayReporter) scheduleReport() {
+func (r *delayReporter) startPeriod() {
 	if r.scheduled {
 		return
 	}
-	r.scheduled, r.since = true, r.loop.now
-	r.scheduleNext()
+	r.scheduled, r.periodStart = true, r.loop.now
+	r.scheduleAfterInterval()
 }
 
-// scheduleNext schedules the report after one interval.
-func (r *delayReporter) scheduleNext() {
+// scheduleAfterInterval schedules the report after one interval.
+func (r *delayReporter) scheduleAfterInterval() {
 	due := r.loop.now + delayReportInterval
 	r.loop.schedule(due, func() { r.report(due) })
 }
@@ -94,17 +94,17 @@
 func (r *delayReporter) report(due policy.Time) {
 	l := r.loop
 	if l.now > due+maxReportLateness {
-		r.scheduleNext()
+		r.scheduleAfterInterval()
 		return
 	}
 	l.pendingEvents = append(l.pendingEvents, &policy.DelayReport{
-		Interval: l.now - r.since,
-		MinDelay: r.least,
-		Handled:  r.taken,
+		Interval: l.now - r.periodStart,
+		MinDelay: r.leastDelay,
+		Handled:  r.handled,
 		Rejected: int(l.limiter.rejected.Swap(0)),
 	})
-	r.scheduled, r.least, r.taken = false, 0, 0
+	r.scheduled, r.leastDelay, r.handled = false, 0, 0
 	if l.limiter.limited.Load() {
-		r.scheduleReport()
+		r.startPeriod()
 	}
 }
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -80,7 +80,7 @@
 	harness.do(func() {
 		c := &clientConn{requests: map[int64]*request{}}
 		slot := newReplySlot(newMemoryBudget(192))
-		harness.loop.clientGone(c)
+		harness.loop.clientDisconnected(c)
 		harness.loop.acceptRequest(c, slot, resp.Command{}, harness.loop.now)
 		if len(harness.loop.requests) > 0 || len(slot.reply) != 1 || len(c.requests) > 0 {
 			t.Error("the request of a client that has gone is taken")
@@ -112,7 +112,7 @@
 	const late = 30_000
 	harness.do(func() {
 		for i := range policy.Time(3) {
-			harness.loop.delayReports.noteRequest(harness.loop.now - late - i)
+			harness.loop.delayReporter.noteRequest(harness.loop.now - late - i)
 		}
 	})
 	report := receive(t, recorder.reports, "report")
@@ -120,7 +120,7 @@
 		t.Errorf("report %+v, want 3 requests, one of them handled %d late", report, late)
 	}
 	harness.do(func() { harness.loop.perform(policy.LimitRequests{PerSecond: 1000}) })
-	harness.do(func() { harness.loop.delayReports.noteRequest(harness.loop.now) })
+	harness.do(func() { harness.loop.delayReporter.noteRequest(harness.loop.now) })
 	receive(t, recorder.reports, "report")
 	if report = receive(t, recorder.reports, "report while there is a limit"); report.Handled != 0 || report.MinDelay != 0 {
 		t.Errorf("report %+v, want none taken", report)
@@ -133,13 +133,13 @@
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
 		loop := harness.loop
-		loop.delayReports.noteRequest(loop.now - 1)
+		loop.delayReporter.noteRequest(loop.now - 1)
 		loop.pendingEvents = nil
-		loop.delayReports.report(loop.now - maxReportLateness - 1)
+		loop.delayReporter.report(loop.now - maxReportLateness - 1)
 		if len(loop.pendingEvents) > 0 {
 			t.Error("a report is made behind a stall")
 		}
-		loop.delayReports.report(loop.now - maxReportLateness)
+		loop.delayReporter.report(loop.now - maxReportLateness)
 		if len(loop.pendingEvents) != 1 {
 			t.Error("no report is made")
 		}
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -105,9 +105,9 @@
 	return a.request.command.Encode(a.deadline - now)
 }
 
-// isReply reports whether the reply is of a kind that the attempt's command can get. If it is not, the actual
+// expectsReply reports whether the reply is of a kind that the attempt's command can get. If it is not, the actual
 // reply may still arrive.
-func (a *attempt) isReply(reply *resp.Reply) bool {
+func (a *attempt) expectsReply(reply *resp.Reply) bool {
 	if a.request == nil {
 		return reply.Pong || reply.Error
 	}
@@ -117,7 +117,7 @@
 // resultOf returns the result of the attempt for the given reply.
 func (a *attempt) resultOf(reply *resp.Reply) policy.Result {
 	switch {
-	case !a.isReply(reply):
+	case !a.expectsReply(reply):
 		return policy.ServerError
 	case reply.Pong:
 		return policy.Served
--- a/internal/router/backlog_probe_test.go
+++ b/internal/router/backlog_probe_test.go
@@ -43,8 +43,8 @@
 	want(start+stall, 2)
 	now += backlogTime
 	want(now, 2)
-	m.noteLate(now-minDelay, now)
-	want(now-minDelay, 3)
+	m.noteLate(now-minBehindDelay, now)
+	want(now-minBehindDelay, 3)
 	now += 1000
 	m.probeReturned(now)
 	now += backlogTime
--- a/internal/router/budgets.go
+++ b/internal/router/budgets.go
@@ -22,7 +22,7 @@
 // upstream connections itself.
 type descriptorBudget struct {
 	clientConns      atomic.Int64
-	freed            chan struct{} // has capacity one; receives when a client's descriptor is released
+	clientReleased   chan struct{} // has capacity one; receives when a client's descriptor is released
 	maxClientConns   int64
 	maxUpstreamConns int
 }
@@ -31,7 +31,7 @@
 func newDescriptorBudget(descriptors int) *descriptorBudget {
 	free := max(descriptors, minSockets) - reservedDescriptors
 	return &descriptorBudget{
-		freed:            make(chan struct{}, 1),
+		clientReleased:   make(chan struct{}, 1),
 		maxClientConns:   int64(free * clientShare / (clientShare + upstreamShare)),
 		maxUpstreamConns: free * upstreamShare / (clientShare + upstreamShare),
 	}
@@ -46,7 +46,7 @@
 func (b *descriptorBudget) releaseClient() {
 	b.clientConns.Add(-1)
 	select {
-	case b.freed <- struct{}{}:
+	case b.clientReleased <- struct{}{}:
 	default:
 	}
 }
--- a/internal/router/client_commands.go
+++ b/internal/router/client_commands.go
@@ -53,7 +53,7 @@
 // pingReply returns the reply to PING, which tells whether the router can serve requests.
 func (c *clientConn) pingReply(args [][]byte) []byte {
 	switch {
-	case !c.srv.loop.canServe.Load():
+	case !c.srv.loop.ready.Load():
 		return []byte(notReadyReply)
 	case len(args) > 1:
 		return redcon.AppendBulk(nil, args[1])
@@ -64,7 +64,7 @@
 
 // handleRequest passes a C.GET or C.SET to the event loop, or rejects it.
 func (c *clientConn) handleRequest(raw []byte, arrivedAt policy.Time) connState {
-	if reply := c.srv.loop.limiter.reject(); reply != nil {
+	if reply := c.srv.loop.limiter.rejection(); reply != nil {
 		c.srv.loop.noteRejectedUnparsed(c, rejectOverloaded)
 		return c.reply(reply)
 	}
--- a/internal/router/client_conn.go
+++ b/internal/router/client_conn.go
@@ -126,7 +126,7 @@
 
 // reportGone makes the event loop end the client's requests.
 func (c *clientConn) reportGone() {
-	c.srv.loop.post(func() { c.srv.loop.clientGone(c) })
+	c.srv.loop.post(func() { c.srv.loop.clientDisconnected(c) })
 }
 
 // awaitHangup waits until the client has disconnected or the connection may be closed. It reads nothing: a
--- a/internal/router/dial.go
+++ b/internal/router/dial.go
@@ -29,9 +29,9 @@
 	routeFault             // there is no route to the cache, perhaps only briefly
 )
 
-// dialMissing dials as many connections as are needed and allowed. Idle connections that settle soon count as
+// dialNeededConns dials as many connections as are needed and allowed. Idle connections that settle soon count as
 // available: a dial for each request of a burst would fill the cache's connection table and cost it time.
-func (p *pool) dialMissing() {
+func (p *pool) dialNeededConns() {
 	for p.needsConn() {
 		if !p.loop.acquireDescriptor() {
 			p.loop.starvedPools[p] = struct{}{}
--- a/internal/router/dial_test.go
+++ b/internal/router/dial_test.go
@@ -130,7 +130,7 @@
 		},
 		"cancelled":   func(r *loopHarness, q *request) { r.loop.perform(policy.Cancel{ID: q.id, Attempt: 0}) },
 		"rejected":    func(r *loopHarness, q *request) { r.loop.perform(policy.Reject{ID: q.id}) },
-		"client gone": func(r *loopHarness, q *request) { r.loop.clientGone(q.client) },
+		"client gone": func(r *loopHarness, q *request) { r.loop.clientDisconnected(q.client) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -216,7 +216,7 @@
 		cmd.reply(t, servedReply)
 		r.wantOutcome(policy.Served)
 	}
-	if most := maxFleetConns / 12; len(conns) > most {
+	if most := maxConnsPerCache / 12; len(conns) > most {
 		t.Errorf("%d connections for %d requests, want %d at most", len(conns), burst, most)
 	}
 }
--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -7,8 +7,8 @@
 	"marlstage/policy"
 )
 
-// errClientGone reports that the client has disconnected.
-var errClientGone = errors.New("the client has disconnected")
+// errClientDisconnected reports that the client has disconnected.
+var errClientDisconnected = errors.New("the client has disconnected")
 
 // clientCheckError reports that the check whether the client is still connected failed.
 type clientCheckError struct{ err error }
@@ -19,10 +19,10 @@
 
 func (e *clientCheckError) Unwrap() error { return e.err }
 
-// isClientCheck reports whether err is a result of checkClient, so that nothing was written.
-func isClientCheck(err error) bool {
+// isClientCheckError reports whether err is a result of checkClient, so that nothing was written.
+func isClientCheckError(err error) bool {
 	var failed *clientCheckError
-	return errors.Is(err, errClientGone) || errors.As(err, &failed)
+	return errors.Is(err, errClientDisconnected) || errors.As(err, &failed)
 }
 
 // clientCheckInterval is the time until a failed check of a client's connection is repeated.
@@ -55,7 +55,7 @@
 		}
 		c := p.takeSettledConn()
 		if c == nil {
-			p.dialMissing()
+			p.dialNeededConns()
 			p.dispatchWhenSettled()
 			return
 		}
@@ -92,7 +92,7 @@
 	case err != nil:
 		return &clientCheckError{err}
 	case hungUp:
-		return errClientGone
+		return errClientDisconnected
 	default:
 		return nil
 	}
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -23,8 +23,8 @@
 func (l *eventLoop) applyEndpoints(list discovery.EndpointList, kind policy.UpdateKind) {
 	l.endpointsVersion = list.Version
 	l.watchBackoff.Reset()
-	l.retriesInARow = 0
-	l.movedAt = 0
+	l.watchRetries = 0
+	l.discoveryMovedAt = 0
 	l.updateEndpoints(list, kind)
 }
 
@@ -41,7 +41,7 @@
 func (l *eventLoop) updateEndpoints(list discovery.EndpointList, kind policy.UpdateKind) {
 	list.Endpoints = l.startTimes.convert(&list, kind, l.now)
 	l.updatePools(&list)
-	l.canServe.Store(l.hasInServicePool())
+	l.ready.Store(l.hasInServicePool())
 	l.pendingEvents = append(l.pendingEvents, &policy.EndpointsUpdate{Kind: kind, Endpoints: list.Endpoints})
 }
 
--- a/internal/router/event_loop.go
+++ b/internal/router/event_loop.go
@@ -32,17 +32,17 @@
 	events        chan postedEvent
 	newRequests   chan postedEvent // handled only while events is empty, so that open requests take precedence
 	limiter       *requestLimiter
-	delayReports  *delayReporter
+	delayReporter *delayReporter
 	logger        *eventLogger
 	statistics    *statistics
 	stalls        *stallMonitor
-	delay         *loopDelay
+	delayMonitor  *delayMonitor
 	done          chan struct{} // closed when the loop has ended
-	started       time.Time     // when the loop was created, by the monotonic clock
-	startedUnix   policy.Time   // the same moment by the wall clock, which may be wrong
+	startedAt     time.Time     // when the loop was created, by the monotonic clock
+	startedAtUnix policy.Time   // the same moment by the wall clock, which may be wrong
 	now           policy.Time   // time of the event being handled
-	turnBegan     policy.Time   // start of the current turn
-	turnEvents    int           // events that the engine has handled in the current turn
+	turnStartedAt policy.Time   // start of the current turn
+	eventsInTurn  int           // events that the engine has handled in the current turn
 	timers        timerHeap
 	pendingEvents []policy.Event // events that the engine has not handled yet
 	lastID        int64          // last ID assigned to a request or a timer
@@ -59,20 +59,20 @@
 	starvedPools  map[*pool]struct{} // pools that could not dial because no descriptor was left
 	settleTime    policy.Time        // minimum time between a reply on a connection and the next request on it
 	maxWriteTime  policy.Time        // maximum time between encoding a command, with its timeout, and its last write
-	canServe      atomic.Bool        // a known cache is in service; any goroutine may read it
+	ready         atomic.Bool        // a known cache is in service; any goroutine may read it
 
-	discovery        *discovery.Client
-	endpointsVersion int64 // version of the endpoint list
-	startTimes       *startTimes
-	watching         bool
-	watchBackoff     discovery.Backoff  // between watches that the loop retries itself
-	retriesInARow    int                // consecutive watches that the loop has retried itself
-	movedAt          policy.Time        // last move to another discovery service; 0 once that has sent a list
-	nextFailureLine  policy.Time        // time before which failed watches are not logged
-	cancelWatch      context.CancelFunc // cancels the open watch
+	discovery           *discovery.Client
+	endpointsVersion    int64 // version of the endpoint list
+	startTimes          *startTimes
+	watching            bool
+	watchBackoff        discovery.Backoff  // between watches that the loop retries itself
+	watchRetries        int                // consecutive watches that the loop has retried itself
+	discoveryMovedAt    policy.Time        // last move to another discovery service; 0 once that has sent a list
+	nextWatchFailureLog policy.Time        // time before which failed watches are not logged
+	cancelWatch         context.CancelFunc // cancels the open watch
 
-	moves                int                  // number of moves to another discovery service so far
-	movesAtList          int                  // value of moves when the watch began that delivered the last list
+	discoveryMoves       int                  // number of moves to another discovery service so far
+	lastListMoves        int                  // value of moves when the watch began that delivered the last list
 	replacedWatchCancels []context.CancelFunc // cancel the watches of replaced services that still run, oldest first
 }
 
@@ -92,8 +92,8 @@
 		logger:           newEventLogger(),
 		statistics:       &statistics{},
 		done:             make(chan struct{}),
-		started:          now,
-		startedUnix:      now.UnixMicro(),
+		startedAt:        now,
+		startedAtUnix:    now.UnixMicro(),
 		requests:         map[int64]*request{},
 		maxTimeout:       longestTimeout(cfg.Settings.Classes),
 		pools:            map[string]*pool{},
@@ -107,10 +107,10 @@
 		startTimes:       newStartTimes(),
 	}
 	l.stalls = newStallMonitor(l.clock(), l.noteStall)
-	l.delay = &loopDelay{loop: l}
-	l.delayReports = &delayReporter{loop: l}
+	l.delayMonitor = &delayMonitor{loop: l}
+	l.delayReporter = &delayReporter{loop: l}
 	// A PING may be answered before the loop has applied the configured endpoints.
-	l.canServe.Store(cfg.KnownEndpoints.HasInService())
+	l.ready.Store(cfg.KnownEndpoints.HasInService())
 	return l, nil
 }
 
@@ -125,7 +125,7 @@
 // clock returns Unix time in microseconds. It advances with the monotonic clock from the loop's start, so
 // that a step of the wall clock does not move deadlines. Any goroutine may call it.
 func (l *eventLoop) clock() policy.Time {
-	return l.startedUnix + time.Since(l.started).Microseconds()
+	return l.startedAtUnix + time.Since(l.startedAt).Microseconds()
 }
 
 // post queues f to be run by the loop, and blocks while the queue is full. After the loop has ended it does
@@ -162,11 +162,11 @@
 	}
 	l.sweepIdle()
 	l.logStatistics()
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	wakeTimer := time.NewTimer(0)
+	defer wakeTimer.Stop()
 	for {
-		l.resetAlarm(alarm, l.endTurn())
-		if !l.takeEvent() && !l.awaitEvent(ctx, alarm) {
+		l.resetWakeTimer(wakeTimer, l.endTurn())
+		if !l.runQueuedEvent() && !l.waitForEvent(ctx, wakeTimer) {
 			l.closePools()
 			return
 		}
@@ -175,8 +175,8 @@
 	}
 }
 
-// takeEvent runs the next queued event without waiting, and reports whether there was one.
-func (l *eventLoop) takeEvent() bool {
+// runQueuedEvent runs the next queued event without waiting, and reports whether there was one.
+func (l *eventLoop) runQueuedEvent() bool {
 	select {
 	case event := <-l.events:
 		l.runEvent(event)
@@ -186,9 +186,9 @@
 	}
 }
 
-// awaitEvent waits for an event, a request or the alarm, and runs the event or request. It returns false if
+// waitForEvent waits for an event, a request or the alarm, and runs the event or request. It returns false if
 // ctx is done.
-func (l *eventLoop) awaitEvent(ctx context.Context, alarm *time.Timer) bool {
+func (l *eventLoop) waitForEvent(ctx context.Context, wakeTimer *time.Timer) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -196,10 +196,10 @@
 		l.runEvent(event)
 	case event := <-l.newRequests:
 		l.beginTurn()
-		l.delay.noteEvent(event.postedAt)
-		l.delayReports.noteRequest(event.postedAt)
+		l.delayMonitor.noteEvent(event.postedAt)
+		l.delayReporter.noteRequest(event.postedAt)
 		event.run()
-	case <-alarm.C:
+	case <-wakeTimer.C:
 		l.beginTurn()
 	}
 	return true
@@ -207,7 +207,7 @@
 
 func (l *eventLoop) runEvent(event postedEvent) {
 	l.beginTurn()
-	l.delay.noteEvent(event.postedAt)
+	l.delayMonitor.noteEvent(event.postedAt)
 	event.run()
 }
 
@@ -216,14 +216,14 @@
 // busy router nothing extra.
 func (l *eventLoop) beginTurn() {
 	l.now = l.clock()
-	l.turnBegan, l.turnEvents = l.now, 0
+	l.turnStartedAt, l.eventsInTurn = l.now, 0
 	l.stalls.beat(l.now)
 }
 
 // endTurn records the turn and returns the time at which it ended.
 func (l *eventLoop) endTurn() policy.Time {
 	end := l.clock()
-	l.delay.noteTurn(end)
+	l.delayMonitor.noteTurn(end)
 	return end
 }
 
@@ -231,7 +231,7 @@
 // may call it.
 func (l *eventLoop) noteStall(duration policy.Time) {
 	l.statistics.noteStall(duration)
-	l.logger.fault("process was stalled", "for", microseconds(duration))
+	l.logger.logFault("process was stalled", "for", microseconds(duration))
 }
 
 // logStatistics logs the statistics periodically. The first line follows one interval after the start.
@@ -267,7 +267,7 @@
 	for len(l.pendingEvents) > 0 {
 		ev := l.pendingEvents[0]
 		l.pendingEvents = l.pendingEvents[1:]
-		l.turnEvents++
+		l.eventsInTurn++
 		for _, action := range l.engine.Handle(l.now, ev) {
 			l.perform(action)
 		}
--- a/internal/router/idle_conn_test.go
+++ b/internal/router/idle_conn_test.go
@@ -31,7 +31,7 @@
 			r.do(func() {
 				first.reply(t, wire)
 				c := r.loop.pools["c1"].idle[0]
-				waitUntil(t, "bytes", func() bool { return c.checkSilent() != nil })
+				waitUntil(t, "bytes", func() bool { return c.checkNothingReceived() != nil })
 				r.loop.perform(policy.Send{ID: q.id, Cache: "c1"})
 			})
 			second := receive(t, cache.commands, "command")
@@ -65,13 +65,13 @@
 				t.Cleanup(func() { nc.Close() })
 				c := &upstreamConn{addr: cache.addr(), nc: nc} // without a reader
 				end(receive(t, conns, "connection"))
-				waitUntil(t, "the end", func() bool { return c.checkSilent() != nil })
+				waitUntil(t, "the end", func() bool { return c.checkNothingReceived() != nil })
 				r.do(func() {
 					p := r.loop.pools["c1"]
 					c.pool, c.connectedAt = p, r.loop.now
 					if !fresh {
 						p.loop.settleTime = 0
-						c.sequence.Add(1)
+						c.attemptsWritten.Add(1)
 					}
 					r.loop.upstreamConns++
 					p.conns[c] = struct{}{}
--- a/internal/router/log_queue.go
+++ b/internal/router/log_queue.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	logQueueSize = 256                   // lines that are queued for the log writer before further lines are dropped
-	logFlushTime = 50 * time.Millisecond // maximum time to wait for the last lines to be written when the router ends
+	logQueueSize    = 256                   // lines that are queued for the log writer before further lines are dropped
+	logFlushTimeout = 50 * time.Millisecond // maximum time to wait for the last lines to be written when the router ends
 
 	// Rate limit of lines about faults of single requests and connections: one fault may cause thousands.
 	faultLinesPerSecond = 10
@@ -62,37 +62,37 @@
 // eventLogger is the router's log. Any goroutine may use it.
 type eventLogger struct {
 	*slog.Logger
-	queue      *logQueue
-	level      *slog.LevelVar
-	faultLines *rate.Limiter // limits the lines about faults
-	suppressed atomic.Int64  // number of lines suppressed by faultLines
-	written    chan struct{} // closed when the last line has been written
+	queue        *logQueue
+	level        *slog.LevelVar
+	faultLimiter *rate.Limiter // limits the lines about faults
+	suppressed   atomic.Int64  // number of lines suppressed by faultLines
+	written      chan struct{} // closed when the last line has been written
 }
 
 func newEventLogger() *eventLogger {
 	queue, level := newLogQueue(), &slog.LevelVar{}
 	return &eventLogger{
-		Logger:     slog.New(slog.NewTextHandler(queue, &slog.HandlerOptions{Level: level})),
-		queue:      queue,
-		level:      level,
-		faultLines: rate.NewLimiter(faultLinesPerSecond, faultLineBurst),
-		written:    make(chan struct{}),
+		Logger:       slog.New(slog.NewTextHandler(queue, &slog.HandlerOptions{Level: level})),
+		queue:        queue,
+		level:        level,
+		faultLimiter: rate.NewLimiter(faultLinesPerSecond, faultLineBurst),
+		written:      make(chan struct{}),
 	}
 }
 
-// fault logs a fault of a peer or of the machine that concerns a single request or connection, subject to the
+// logFault logs a fault of a peer or of the machine that concerns a single request or connection, subject to the
 // rate limit.
-func (l *eventLogger) fault(message string, attributes ...any) {
-	if !l.faultLines.Allow() {
+func (l *eventLogger) logFault(message string, attributes ...any) {
+	if !l.faultLimiter.Allow() {
 		l.suppressed.Add(1)
 		return
 	}
 	l.Warn(message, attributes...)
 }
 
-// debugs reports whether lines at debug level are logged. Callers on the path of each request check it before
+// debugEnabled reports whether lines at debug level are logged. Callers on the path of each request check it before
 // they compute the attributes of a line.
-func (l *eventLogger) debugs() bool { return l.Enabled(context.Background(), slog.LevelDebug) }
+func (l *eventLogger) debugEnabled() bool { return l.Enabled(context.Background(), slog.LevelDebug) }
 
 // run writes the queued lines until done is closed.
 func (l *eventLogger) run(done <-chan struct{}) {
@@ -104,6 +104,6 @@
 func (l *eventLogger) awaitWritten() {
 	select {
 	case <-l.written:
-	case <-time.After(logFlushTime):
+	case <-time.After(logFlushTimeout):
 	}
 }
--- a/internal/router/log_queue_test.go
+++ b/internal/router/log_queue_test.go
@@ -12,7 +12,7 @@
 	logger := newEventLogger()
 	const faults = 10 * faultLineBurst
 	for range faults {
-		logger.fault("fault")
+		logger.logFault("fault")
 	}
 	written := len(logger.queue.lines)
 	if written < faultLineBurst || written > 2*faultLineBurst || int64(written)+logger.suppressed.Load() != faults {
@@ -29,7 +29,7 @@
 	s.rejects[rejectMemory].Add(1)
 	s.abandonedWhenDue.Add(4)
 	s.postponedAttempts.Add(5)
-	s.clientEnd[closedIncomplete].Add(1)
+	s.clientEnds[closedIncomplete].Add(1)
 	s.noteStall(150_000)
 	s.noteStall(100_000)
 	s.log(logger)
@@ -58,7 +58,7 @@
 	}
 	begun := time.Now()
 	newEventLogger().awaitWritten() // nobody writes
-	if waited := time.Since(begun); waited < logFlushTime {
+	if waited := time.Since(begun); waited < logFlushTimeout {
 		t.Errorf("waited for %v only", waited)
 	}
 }
--- a/internal/router/loop_delay.go
+++ b/internal/router/loop_delay.go
@@ -3,10 +3,10 @@
 import "marlstage/policy"
 
 const (
-	// minDelay is the delay in microseconds of an event at which the event loop starts to count as behind.
-	minDelay policy.Time = 50_000
-	// longTurn is the minimum duration in microseconds of an event loop turn that is logged.
-	longTurn policy.Time = 20_000
+	// minBehindDelay is the delay in microseconds of an event at which the event loop starts to count as behind.
+	minBehindDelay policy.Time = 50_000
+	// minLongTurn is the minimum duration in microseconds of an event loop turn that is logged.
+	minLongTurn policy.Time = 20_000
 )
 
 // postedEvent is a function to be run by the event loop, with the time at which it was posted.
@@ -15,17 +15,17 @@
 	postedAt policy.Time
 }
 
-// loopDelay monitors the delay with which the event loop handles events. It is owned by the event loop.
-type loopDelay struct {
+// delayMonitor monitors the delay with which the event loop handles events. It is owned by the event loop.
+type delayMonitor struct {
 	loop   *eventLoop
 	behind bool // the last event was delayed by minDelay or more
 }
 
 // noteEvent records that an event is handled now that was due at the given time.
-func (d *loopDelay) noteEvent(dueAt policy.Time) {
+func (d *delayMonitor) noteEvent(dueAt policy.Time) {
 	l := d.loop
 	delay := l.now - dueAt
-	behind := delay >= minDelay
+	behind := delay >= minBehindDelay
 	if behind {
 		l.statistics.delayedEvents.Add(1)
 		storeMax(&l.statistics.longestDelay, delay)
@@ -33,19 +33,19 @@
 	}
 	if behind != d.behind {
 		d.behind = behind
-		l.logger.fault("event loop delay changed", "behind", behind, "delay", microseconds(delay),
+		l.logger.logFault("event loop delay changed", "behind", behind, "delay", microseconds(delay),
 			"queued_events", len(l.events), "open_requests", l.openRequests)
 	}
 }
 
 // noteTurn records that the current turn of the loop ends at the given time.
-func (d *loopDelay) noteTurn(end policy.Time) {
+func (d *delayMonitor) noteTurn(end policy.Time) {
 	l := d.loop
-	duration := end - l.turnBegan
+	duration := end - l.turnStartedAt
 	storeMax(&l.statistics.longestTurn, duration)
-	if duration < longTurn {
+	if duration < minLongTurn {
 		return
 	}
-	l.logger.fault("event loop turn took long", "for", microseconds(duration), "engine_events", l.turnEvents,
+	l.logger.logFault("event loop turn took long", "for", microseconds(duration), "engine_events", l.eventsInTurn,
 		"queued_events", len(l.events), "open_requests", l.openRequests)
 }
--- a/internal/router/outcome_test.go
+++ b/internal/router/outcome_test.go
@@ -58,7 +58,7 @@
 		"rejected":    func(r *loopHarness, q *request) { r.loop.perform(policy.Reject{ID: q.id}) },
 		"failed":      func(r *loopHarness, q *request) { r.loop.perform(policy.Fail{ID: q.id}) },
 		"cancelled":   func(r *loopHarness, q *request) { r.loop.perform(policy.Cancel{ID: q.id, Attempt: 0}) },
-		"client gone": func(r *loopHarness, q *request) { r.loop.clientGone(q.client) },
+		"client gone": func(r *loopHarness, q *request) { r.loop.clientDisconnected(q.client) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, cache, busy := exhaustedPool(t)
@@ -81,7 +81,7 @@
 func TestExhaustedPoolIsConnectFailed(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
-	for range minConns {
+	for range minConnsPerRouter {
 		r.sendAttempt(r.newRequest(nil), long)
 		receive(t, cache.commands, "command")
 	}
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// maxFleetConns is the maximum number of connections that all routers together hold to one cache. A cache
+	// maxConnsPerCache is the maximum number of connections that all routers together hold to one cache. A cache
 	// accepts 90, and slows down when its connection table is full.
-	maxFleetConns = 72
-	// minConns is the lower limit of one router's share of maxFleetConns.
-	minConns = 2
-	// maxIdleQuarters is how long a connection may be idle, in quarters of the cache's keepalive time.
-	maxIdleQuarters = 3
+	maxConnsPerCache = 72
+	// minConnsPerRouter is the lower limit of one router's share of maxFleetConns.
+	minConnsPerRouter = 2
+	// maxIdleKeepaliveQuarters is how long a connection may be idle, in quarters of the cache's keepalive time.
+	maxIdleKeepaliveQuarters = 3
 	// defaultSettleTime is the minimum time in microseconds between a reply on a connection and the next
 	// request on it.
 	defaultSettleTime = 10_000
@@ -35,9 +35,9 @@
 	dialFault       dialFault   // fault of the last dials on the router's own machine, if any
 	dialPause       policy.Time // length of the last pause of dials; 0 if the last dial showed no such fault
 	dialPausedUntil policy.Time
-	queue           []*attempt  // first in, first out
-	postponed       []*attempt  // attempts whose clients could not be checked for a disconnect
-	lateReplies     lateReplies // second replies of the cache's current incarnation
+	queue           []*attempt    // first in, first out
+	postponed       []*attempt    // attempts whose clients could not be checked for a disconnect
+	secondReplies   secondReplies // second replies of the cache's current incarnation
 }
 
 func newPool(l *eventLoop, name string) *pool {
@@ -45,17 +45,17 @@
 		loop:     l,
 		name:     name,
 		conns:    map[*upstreamConn]struct{}{},
-		maxConns: max(minConns, maxFleetConns/max(1, l.cfg.Settings.Routers)),
+		maxConns: max(minConnsPerRouter, maxConnsPerCache/max(1, l.cfg.Settings.Routers)),
 	}
 }
 
 // update applies the cache's entry in the endpoint list. startedAt is its start time by the loop's clock.
 func (p *pool) update(addr string, startedAt policy.Time, inService bool) {
 	if addr != p.addr {
-		p.move(addr)
+		p.changeAddress(addr)
 	}
 	if startedAt != p.startedAt {
-		p.restart(startedAt)
+		p.startIncarnation(startedAt)
 	}
 	p.inService = inService
 	if !inService {
@@ -63,9 +63,9 @@
 	}
 }
 
-// move sets a new address of the cache. It closes the connections that are idle or being dialed, so that the
+// changeAddress sets a new address of the cache. It closes the connections that are idle or being dialed, so that the
 // queued attempts go to the new address.
-func (p *pool) move(addr string) {
+func (p *pool) changeAddress(addr string) {
 	p.addr = addr
 	p.closeIdle(p.loop.now)
 	for c := range p.conns {
@@ -77,11 +77,11 @@
 	p.loop.schedule(p.loop.now, p.dispatch)
 }
 
-// restart sets the start time of a new incarnation of the cache and closes the idle connections to the previous
+// startIncarnation sets the start time of a new incarnation of the cache and closes the idle connections to the previous
 // one.
-func (p *pool) restart(startedAt policy.Time) {
+func (p *pool) startIncarnation(startedAt policy.Time) {
 	p.startedAt = startedAt
-	p.lateReplies = lateReplies{}
+	p.secondReplies = secondReplies{}
 	for _, c := range slices.Clone(p.idle) {
 		if !c.matchesEndpoint() {
 			p.closeConn(c)
@@ -148,7 +148,7 @@
 // the cache closed a connection while a request is written to it, it would be unknown whether the request was
 // executed.
 func (p *pool) idleCutoff() policy.Time {
-	return p.loop.now - p.loop.cfg.Transport.Keepalive*maxIdleQuarters/4
+	return p.loop.now - p.loop.cfg.Transport.Keepalive*maxIdleKeepaliveQuarters/4
 }
 
 // closeIdle closes the connections that became idle at or before the given time.
--- a/internal/router/request_log.go
+++ b/internal/router/request_log.go
@@ -15,7 +15,7 @@
 // noteRejected counts and logs a request that is rejected without consulting the engine.
 func (l *eventLoop) noteRejected(c *clientConn, cmd resp.Command, reason rejectReason) {
 	l.countRejected(reason)
-	if !l.logger.debugs() {
+	if !l.logger.debugEnabled() {
 		return
 	}
 	l.logger.Debug("request rejected", "id", string(cmd.Args[resp.IDArgument]), "client", c, "reason", reason)
@@ -24,7 +24,7 @@
 // noteRejectedUnparsed counts and logs a request that is rejected before its command is parsed.
 func (l *eventLoop) noteRejectedUnparsed(c *clientConn, reason rejectReason) {
 	l.countRejected(reason)
-	if l.logger.debugs() {
+	if l.logger.debugEnabled() {
 		l.logger.Debug("request rejected", "client", c, "reason", reason)
 	}
 }
@@ -38,7 +38,7 @@
 // noteAccepted counts and logs a request that is reported to the engine.
 func (l *eventLoop) noteAccepted(r *request, arrivedAt policy.Time) {
 	l.statistics.requests.Add(1)
-	if !l.logger.debugs() {
+	if !l.logger.debugEnabled() {
 		return
 	}
 	l.logger.Debug("request accepted", "id", r.externalID(), "client", r.client, "class", r.command.Class,
@@ -51,16 +51,16 @@
 	l.statistics.results[result].Add(1)
 	late := l.now - r.deadline
 	if result != requestAbandoned && late > lateReplyMargin {
-		l.statistics.late.Add(1)
-		l.logger.fault("late reply", "id", r.externalID(), "client", r.client, "result", result, "late", microseconds(late))
+		l.statistics.lateReplies.Add(1)
+		l.logger.logFault("late reply", "id", r.externalID(), "client", r.client, "result", result, "late", microseconds(late))
 	}
 	if result == requestAbandoned && late > -maxStall.Microseconds() {
 		// The client may have stopped waiting for a reply that should already have arrived.
 		l.statistics.abandonedWhenDue.Add(1)
-		l.logger.fault("client left when its reply was due", "id", r.externalID(), "client", r.client,
+		l.logger.logFault("client left when its reply was due", "id", r.externalID(), "client", r.client,
 			"time_left", microseconds(-late), "attempts", r.describeAttempts())
 	}
-	if !l.logger.debugs() {
+	if !l.logger.debugEnabled() {
 		return
 	}
 	l.logger.Debug("request done", "id", r.externalID(), "client", r.client, "result", result,
@@ -82,7 +82,7 @@
 	if a.number > 0 {
 		l.statistics.retries.Add(1)
 	}
-	if !l.logger.debugs() {
+	if !l.logger.debugEnabled() {
 		return
 	}
 	l.logger.Debug("attempt", "id", a.request.externalID(), "attempt", a.number, "cache", a.pool.name,
@@ -92,7 +92,7 @@
 // noteOutcome counts and logs the outcome of an attempt.
 func (l *eventLoop) noteOutcome(a *attempt, result policy.Result) {
 	l.statistics.outcomes[result].Add(1)
-	if !l.logger.debugs() {
+	if !l.logger.debugEnabled() {
 		return
 	}
 	l.logger.Debug("attempt done", "id", a.request.externalID(), "attempt", a.number, "cache", a.pool.name,
@@ -111,12 +111,12 @@
 // of bytes that were read but not handled as commands.
 func (c *clientConn) noteClosed(reason closeReason, unhandled int) {
 	loop := c.srv.loop
-	loop.statistics.clientEnd[reason].Add(1)
+	loop.statistics.clientEnds[reason].Add(1)
 	attributes := []any{
 		"client", c, "reason", reason, "pending_replies", c.pendingReplies.Load(), "unhandled_bytes", unhandled,
 	}
 	if reason == closedMalformed || reason == closedIncomplete {
-		loop.logger.fault("client connection ends", attributes...)
+		loop.logger.logFault("client connection ends", attributes...)
 		return
 	}
 	loop.logger.Debug("client connection ends", attributes...)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -27,12 +27,12 @@
 		slot.fill(nil)
 		return
 	}
-	if reason, rejected := l.rejectsUnseen(); rejected {
+	if reason, rejected := l.checkAdmission(); rejected {
 		l.noteRejected(c, cmd, reason)
 		slot.fill([]byte(resp.BusyReply)) // the engine is not told, and the command is never forwarded
 		return
 	}
-	cmd.Timeout = l.boundTimeout(cmd.Timeout, arrivedAt)
+	cmd.Timeout = l.limitTimeout(cmd.Timeout, arrivedAt)
 	l.lastID++
 	r := &request{
 		id:       l.lastID,
@@ -58,11 +58,11 @@
 	})
 }
 
-// rejectsUnseen reports whether a new request is to be rejected without consulting the engine, and why.
-func (l *eventLoop) rejectsUnseen() (reason rejectReason, rejected bool) {
+// checkAdmission reports whether a new request is to be rejected without consulting the engine, and why.
+func (l *eventLoop) checkAdmission() (reason rejectReason, rejected bool) {
 	switch {
 	case l.cfg.Transport.MaxOpen > 0 && l.openRequests >= l.cfg.Transport.MaxOpen:
-		return rejectTooMany, true
+		return rejectTooManyOpen, true
 	case l.drainDeadline > 0 && l.now >= l.drainDeadline:
 		return rejectDraining, true
 	default:
@@ -70,10 +70,10 @@
 	}
 }
 
-// boundTimeout limits the timeout that a client has requested. The longest timeout in the settings is the
+// limitTimeout limits the timeout that a client has requested. The longest timeout in the settings is the
 // upper bound, because timers keep a request in memory until its deadline. While the router drains, requests
 // must also be answered by the drain deadline, before the process is killed.
-func (l *eventLoop) boundTimeout(timeout, arrivedAt policy.Time) policy.Time {
+func (l *eventLoop) limitTimeout(timeout, arrivedAt policy.Time) policy.Time {
 	if l.maxTimeout > 0 {
 		timeout = min(timeout, l.maxTimeout)
 	}
@@ -102,13 +102,13 @@
 	}
 }
 
-// resolveClientCheck handles an error of checkClient. If the client has disconnected it ends all of the
+// handleClientCheckError handles an error of checkClient. If the client has disconnected it ends all of the
 // client's requests, and if a disconnect can no longer be detected it ends the attempt. It returns false for
 // any other error, after which the check is to be repeated.
-func (l *eventLoop) resolveClientCheck(a *attempt, err error) bool {
+func (l *eventLoop) handleClientCheckError(a *attempt, err error) bool {
 	switch {
-	case errors.Is(err, errClientGone):
-		l.clientGone(a.request.client)
+	case errors.Is(err, errClientDisconnected):
+		l.clientDisconnected(a.request.client)
 	case errors.Is(err, errEndUnknown):
 		a.abandon(policy.NotSent)
 	default:
@@ -117,8 +117,8 @@
 	return true
 }
 
-// clientGone handles the disconnect of a client: it ends the client's requests.
-func (l *eventLoop) clientGone(c *clientConn) {
+// clientDisconnected handles the disconnect of a client: it ends the client's requests.
+func (l *eventLoop) clientDisconnected(c *clientConn) {
 	c.gone = true
 	for _, r := range c.requests {
 		l.finish(r, requestAbandoned, nil)
--- a/internal/router/late_replies.go
+++ b/internal/router/second_replies.go
@@ -3,53 +3,53 @@
 import "marlstage/policy"
 
 const (
-	// lateReplyMemory is how long, in microseconds, a late second reply prolongs the settle time of the
+	// secondReplyRetention is how long, in microseconds, a late second reply prolongs the settle time of the
 	// cache's connections.
-	lateReplyMemory = 60_000_000
-	// maxReplyLateness is the maximum time in microseconds after a reply for further bytes to count as a
+	secondReplyRetention = 60_000_000
+	// maxSecondReplyLateness is the maximum time in microseconds after a reply for further bytes to count as a
 	// second reply. Bytes after that are more likely a notice that the cache sends before it closes.
-	maxReplyLateness = 1_000_000
+	maxSecondReplyLateness = 1_000_000
 	// maxSettleTime is the maximum settle time in microseconds.
 	maxSettleTime = 200_000
-	// settlePerLateness is the ratio of the settle time to the longest recorded lateness.
-	settlePerLateness = 4
+	// settleTimePerLateness is the ratio of the settle time to the longest recorded lateness.
+	settleTimePerLateness = 4
 )
 
-// lateReplies records that a cache has sent a second reply to a request some time after the first. Replies carry
+// secondReplies records that a cache has sent a second reply to a request some time after the first. Replies carry
 // no ID, so a second reply that arrives while the connection carries the next request is matched to that
 // request, the reply to that request is matched to the one after it, and so on. Second replies that arrive on
 // idle connections show how long the settle time has to be to prevent this.
-type lateReplies struct {
-	longest policy.Time // longest time between a reply and the second one; 0 if there was none recently
-	until   policy.Time // when longest expires
+type secondReplies struct {
+	longestLateness policy.Time // longest time between a reply and the second one; 0 if there was none recently
+	expiresAt       policy.Time // when longest expires
 }
 
 // note records a second reply that arrived the given time after the first.
-func (l *lateReplies) note(now, lateness policy.Time) {
-	if lateness > maxReplyLateness {
+func (l *secondReplies) note(now, lateness policy.Time) {
+	if lateness > maxSecondReplyLateness {
 		return
 	}
-	l.longest = max(l.current(now), lateness)
-	l.until = now + lateReplyMemory
+	l.longestLateness = max(l.current(now), lateness)
+	l.expiresAt = now + secondReplyRetention
 }
 
 // current returns the longest recorded lateness, or 0 if it has expired.
-func (l *lateReplies) current(now policy.Time) policy.Time {
-	if now >= l.until {
+func (l *secondReplies) current(now policy.Time) policy.Time {
+	if now >= l.expiresAt {
 		return 0
 	}
-	return l.longest
+	return l.longestLateness
 }
 
 // settleTime returns the settle time of the cache's connections. usual is the settle time without second
 // replies.
-func (l *lateReplies) settleTime(now, usual policy.Time) policy.Time {
-	return max(usual, min(settlePerLateness*l.current(now), maxSettleTime))
+func (l *secondReplies) settleTime(now, usual policy.Time) policy.Time {
+	return max(usual, min(settleTimePerLateness*l.current(now), maxSettleTime))
 }
 
 // settleTime returns the minimum time between a reply on a connection and the next request on it.
 func (p *pool) settleTime() policy.Time {
-	return p.lateReplies.settleTime(p.loop.now, p.loop.settleTime)
+	return p.secondReplies.settleTime(p.loop.now, p.loop.settleTime)
 }
 
 // settlesSoon reports whether an idle connection has settled, or will have within the usual settle time.
@@ -59,13 +59,13 @@
 
 // noteUnsolicited counts and logs bytes from the cache that are not part of the reply to an outstanding request.
 // If the connection was idle when they arrived (atRest), they are recorded as a second reply to its last request.
-func (c *upstreamConn) noteUnsolicited(atRest bool) {
+func (c *upstreamConn) noteUnsolicited(idle bool) {
 	loop := c.pool.loop
 	lateness := loop.now - c.idleSince
-	if atRest {
-		c.pool.lateReplies.note(loop.now, lateness)
+	if idle {
+		c.pool.secondReplies.note(loop.now, lateness)
 	}
 	loop.statistics.unsolicited.Add(1)
-	loop.logger.fault("unsolicited bytes from a cache", "cache", c.pool.name, "after_reply", microseconds(lateness),
+	loop.logger.logFault("unsolicited bytes from a cache", "cache", c.pool.name, "after_reply", microseconds(lateness),
 		"settle_time", microseconds(c.pool.settleTime()))
 }
--- a/internal/router/late_replies_test.go
+++ b/internal/router/second_replies_test.go
@@ -21,13 +21,13 @@
 		"beyond the usual":          {[]policy.Time{15_000}, 0, 60_000},
 		"the longest counts":        {[]policy.Time{15_000, 5_000}, 0, 60_000},
 		"bounded":                   {[]policy.Time{900_000}, 0, maxSettleTime},
-		"too late for a second one": {[]policy.Time{maxReplyLateness + 1}, 0, usual},
-		"forgotten":                 {[]policy.Time{15_000}, lateReplyMemory, usual},
-		"not forgotten yet":         {[]policy.Time{15_000}, lateReplyMemory - 1, 60_000},
+		"too late for a second one": {[]policy.Time{maxSecondReplyLateness + 1}, 0, usual},
+		"forgotten":                 {[]policy.Time{15_000}, secondReplyRetention, usual},
+		"not forgotten yet":         {[]policy.Time{15_000}, secondReplyRetention - 1, 60_000},
 		"the longest is forgotten":  {append([]policy.Time{15_000}, slices.Repeat([]policy.Time{2_000_000}, 60)...), 0, usual},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var late lateReplies
+			var late secondReplies
 			now := policy.Time(1_000_000)
 			for _, lateness := range c.lateness {
 				now += 1_000_000
@@ -53,7 +53,7 @@
 	h.do(func() {
 		p := h.loop.pools["c1"]
 		rest := p.settleTime()
-		if rest < 2*settlePerLateness*defaultSettleTime && rest != maxSettleTime {
+		if rest < 2*settleTimePerLateness*defaultSettleTime && rest != maxSettleTime {
 			t.Errorf("settle time %d", rest)
 		}
 		resting := p.idle[0]
@@ -84,7 +84,7 @@
 	h := newLoopHarness(t, "127.0.0.1:1", nil)
 	h.do(func() {
 		p := h.loop.pools["c1"]
-		p.lateReplies.note(h.loop.now, 15_000)
+		p.secondReplies.note(h.loop.now, 15_000)
 		p.update(p.addr, h.loop.now, true)
 		if got := p.settleTime(); got != defaultSettleTime {
 			t.Errorf("settle time %d", got)
--- a/internal/router/statistics.go
+++ b/internal/router/statistics.go
@@ -14,14 +14,14 @@
 
 // statistics holds counters since the router's start. Any goroutine may update them.
 type statistics struct {
-	requests  atomic.Int64
-	results   [requestResults]atomic.Int64
-	rejects   [rejectReasons]atomic.Int64 // requests rejected without consulting the engine
-	late      atomic.Int64                // final replies that were later than lateReplyMargin
-	attempts  atomic.Int64
-	retries   atomic.Int64                       // attempts other than the first of a request, including hedges
-	outcomes  [policy.NotStored + 1]atomic.Int64 // attempts by policy.Result
-	clientEnd [closeReasons]atomic.Int64         // client connections by the reason of their end
+	requests    atomic.Int64
+	results     [requestResultCount]atomic.Int64
+	rejects     [rejectReasonCount]atomic.Int64 // requests rejected without consulting the engine
+	lateReplies atomic.Int64                    // final replies that were later than lateReplyMargin
+	attempts    atomic.Int64
+	retries     atomic.Int64                       // attempts other than the first of a request, including hedges
+	outcomes    [policy.NotStored + 1]atomic.Int64 // attempts by policy.Result
+	clientEnds  [closeReasonCount]atomic.Int64     // client connections by the reason of their end
 
 	unsolicited       atomic.Int64 // upstream connections closed because of unsolicited bytes
 	abandonedWhenDue  atomic.Int64 // requests whose client disconnected at about their deadline or later
@@ -43,28 +43,28 @@
 	requestServed requestResult = iota
 	requestRejected
 	requestFailed
-	requestAbandoned // the client has disconnected
-	requestResults   // number of results
+	requestAbandoned   // the client has disconnected
+	requestResultCount // number of results
 )
 
 func (r requestResult) String() string {
-	return [requestResults]string{"served", "rejected", "failed", "abandoned"}[r]
+	return [requestResultCount]string{"served", "rejected", "failed", "abandoned"}[r]
 }
 
 // rejectReason is the reason why a command is rejected without consulting the engine.
 type rejectReason uint8
 
 const (
-	rejectTooMany    rejectReason = iota // the number of open requests has reached the limit of the settings
-	rejectDraining                       // the drain deadline has passed
-	rejectMemory                         // the memory budget is exhausted
-	rejectPipelined                      // too many commands on the connection await their replies
-	rejectOverloaded                     // the router is overloaded and the request is beyond the engine's limit
-	rejectReasons                        // number of reasons
+	rejectTooManyOpen rejectReason = iota // the number of open requests has reached the limit of the settings
+	rejectDraining                        // the drain deadline has passed
+	rejectMemory                          // the memory budget is exhausted
+	rejectPipelined                       // too many commands on the connection await their replies
+	rejectOverloaded                      // the router is overloaded and the request is beyond the engine's limit
+	rejectReasonCount                     // number of reasons
 )
 
 func (r rejectReason) String() string {
-	return [rejectReasons]string{"too_many_open", "draining", "no_memory", "pipelined", "overloaded"}[r]
+	return [rejectReasonCount]string{"too_many_open", "draining", "no_memory", "pipelined", "overloaded"}[r]
 }
 
 // closeReason is the reason why nothing more is read from a client connection.
@@ -79,11 +79,11 @@
 	closedMalformed                       // the client sent something that is not a command
 	closedIncomplete                      // the rest of a command did not arrive in time
 	closedFinalReplies                    // the drain deadline passed
-	closeReasons                          // number of reasons
+	closeReasonCount                      // number of reasons
 )
 
 func (r closeReason) String() string {
-	return [closeReasons]string{
+	return [closeReasonCount]string{
 		"client", "draining", "evicted", "silent", "quit", "malformed", "incomplete", "final replies",
 	}[r]
 }
@@ -108,15 +108,15 @@
 func (s *statistics) log(logger *eventLogger) {
 	logger.Info("statistics",
 		slog.Int64("requests", s.requests.Load()),
-		slog.Attr{Key: "results", Value: groupOf(s.results[:], func(i int) string { return requestResult(i).String() })},
-		slog.Attr{Key: "rejects", Value: groupOf(s.rejects[:], func(i int) string { return rejectReason(i).String() })},
-		slog.Int64("late", s.late.Load()),
+		slog.Attr{Key: "results", Value: nonZeroCounts(s.results[:], func(i int) string { return requestResult(i).String() })},
+		slog.Attr{Key: "rejects", Value: nonZeroCounts(s.rejects[:], func(i int) string { return rejectReason(i).String() })},
+		slog.Int64("late", s.lateReplies.Load()),
 		slog.Int64("abandoned_when_due", s.abandonedWhenDue.Load()),
 		slog.Int64("postponed_attempts", s.postponedAttempts.Load()),
 		slog.Int64("attempts", s.attempts.Load()),
 		slog.Int64("retries", s.retries.Load()),
-		slog.Attr{Key: "outcomes", Value: groupOf(s.outcomes[:], func(i int) string { return policy.Result(i).String() })},
-		slog.Attr{Key: "client_ends", Value: groupOf(s.clientEnd[:], func(i int) string { return closeReason(i).String() })},
+		slog.Attr{Key: "outcomes", Value: nonZeroCounts(s.outcomes[:], func(i int) string { return policy.Result(i).String() })},
+		slog.Attr{Key: "client_ends", Value: nonZeroCounts(s.clientEnds[:], func(i int) string { return closeReason(i).String() })},
 		slog.Int64("unsolicited", s.unsolicited.Load()),
 		slog.Int64("command_errors", s.commandErrors.Load()),
 		slog.Int64("stalls", s.stalls.Load()),
@@ -129,9 +129,9 @@
 	)
 }
 
-// groupOf returns a group of the counters that are not zero. name returns the name of the counter with the given
+// nonZeroCounts returns a group of the counters that are not zero. name returns the name of the counter with the given
 // index.
-func groupOf(counts []atomic.Int64, name func(int) string) slog.Value {
+func nonZeroCounts(counts []atomic.Int64, name func(int) string) slog.Value {
 	var group []slog.Attr
 	for i := range counts {
 		if n := counts[i].Load(); n > 0 {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -46,14 +46,14 @@
 // scheduleAfter schedules f to be run by the loop after the given delay.
 func (l *eventLoop) scheduleAfter(delay policy.Time, f func()) { l.schedule(l.now+delay, f) }
 
-// resetAlarm sets the alarm to the next timer that is due, or to the next heartbeat if that comes first. now is
+// resetWakeTimer sets the alarm to the next timer that is due, or to the next heartbeat if that comes first. now is
 // the current time.
-func (l *eventLoop) resetAlarm(alarm *time.Timer, now policy.Time) {
+func (l *eventLoop) resetWakeTimer(wakeTimer *time.Timer, now policy.Time) {
 	wait := heartbeatInterval
 	if len(l.timers) > 0 {
 		wait = min(wait, microseconds(l.timers[0].at-now))
 	}
-	alarm.Reset(wait)
+	wakeTimer.Reset(wait)
 }
 
 // runDueTimers runs the timers that are due. It delivers the events that each of them adds before it runs the
--- a/internal/router/upstream_conn.go
+++ b/internal/router/upstream_conn.go
@@ -27,13 +27,13 @@
 
 	// mu is held by the reader while it reads from the socket and records what has arrived, and by the
 	// loop while it checks that nothing has arrived and writes.
-	mu         sync.Mutex
-	sequence   atomic.Uint32 // number of attempts completely written to the connection
-	replyBegun atomic.Bool   // part of the next reply has been read
+	mu              sync.Mutex
+	attemptsWritten atomic.Uint32 // number of attempts completely written to the connection
+	replyStarted    atomic.Bool   // part of the next reply has been read
 }
 
 // isNew reports whether no attempt has been completely written to the connection yet.
-func (c *upstreamConn) isNew() bool { return c.sequence.Load() == 0 }
+func (c *upstreamConn) isNew() bool { return c.attemptsWritten.Load() == 0 }
 
 // matchesEndpoint reports whether the connection was made to the address and the incarnation of the cache in
 // the current endpoint list.
@@ -50,7 +50,7 @@
 		return
 	}
 	defer nc.Close()
-	in := &sequencedReader{conn: c, nc: nc}
+	in := &replyReader{conn: c, nc: nc}
 	var buf []byte
 	for {
 		reply, rest, err := resp.ReadReply(in, buf)
@@ -60,31 +60,31 @@
 		}
 		buf = rest
 		// No request is outstanding for bytes that follow a reply, so the connection is out of sync.
-		inStep := len(rest) == 0
-		sequence := in.sequence
-		in.sequence = 0
-		c.replyBegun.Store(false)
-		loop.post(func() { c.replyReceived(reply, sequence, inStep) })
+		inSync := len(rest) == 0
+		attemptsWritten := in.attemptsWritten
+		in.attemptsWritten = 0
+		c.replyStarted.Store(false)
+		loop.post(func() { c.replyReceived(reply, attemptsWritten, inSync) })
 	}
 }
 
 // replyReceived handles a reply. sequence is the number of attempts that had been completely written when the
 // first bytes of the reply arrived. inStep is false if more bytes arrived together with the end of the reply.
-func (c *upstreamConn) replyReceived(reply *resp.Reply, sequence uint32, inStep bool) {
+func (c *upstreamConn) replyReceived(reply *resp.Reply, attemptsWritten uint32, inSync bool) {
 	if c.closed {
 		return
 	}
 	a := c.attempt
-	if a == nil || a.state != attemptWritten || sequence != c.sequence.Load() {
+	if a == nil || a.state != attemptWritten || attemptsWritten != c.attemptsWritten.Load() {
 		// No request is outstanding, or the reply arrived before the request was completely written. Later
 		// replies can't be matched to requests either.
 		c.noteUnsolicited(a == nil || a.state == attemptWritten)
 		c.connectionLost()
 		return
 	}
-	inStep = inStep && a.isReply(reply)
+	inSync = inSync && a.expectsReply(reply)
 	a.finish(a.resultOf(reply), reply)
-	if !inStep {
+	if !inSync {
 		c.close()
 		return
 	}
@@ -95,7 +95,7 @@
 func (c *upstreamConn) connectionLost() {
 	c.pool.closeConn(c)
 	if a := c.attempt; a != nil {
-		c.fail(a)
+		c.failAttempt(a)
 	}
 	c.pool.dispatch()
 }
--- a/internal/router/upstream_conn_test.go
+++ b/internal/router/upstream_conn_test.go
@@ -146,7 +146,7 @@
 			harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
 			var last *request
 			var cmd fakeCommand
-			for range minConns {
+			for range minConnsPerRouter {
 				last = harness.newRequest(nil)
 				harness.sendAttempt(last, long)
 				cmd = receive(t, cache.commands, "command")
--- a/internal/router/upstream_harness_test.go
+++ b/internal/router/upstream_harness_test.go
@@ -62,7 +62,7 @@
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
 	var busy []fakeCommand
-	for range minConns {
+	for range minConnsPerRouter {
 		r.sendAttempt(r.newRequest(nil), long)
 		busy = append(busy, receive(t, cache.commands, "command"))
 	}
--- a/internal/router/upstream_write.go
+++ b/internal/router/upstream_write.go
@@ -11,26 +11,26 @@
 	// defaultMaxWriteTime is the maximum time in microseconds from when the timeout in a command is computed to
 	// its last write. The cache counts that timeout from when it has received the command's last byte.
 	defaultMaxWriteTime = 100_000
-	// minWriteDelay and maxWriteDelay are the shortest and longest delay in microseconds before a write is
+	// minWriteRetryDelay and maxWriteDelay are the shortest and longest delay in microseconds before a write is
 	// retried on a socket that has accepted nothing. The delay doubles with each retry.
-	minWriteDelay = 1_000
-	maxWriteDelay = 16_000
-	// maxUninterrupted is the maximum time in microseconds from the checks before a write to the end of the
+	minWriteRetryDelay = 1_000
+	maxWriteRetryDelay = 16_000
+	// maxTryWriteTime is the maximum time in microseconds from the checks before a write to the end of the
 	// write. If they take longer, the process counts as having been stalled in between.
-	maxUninterrupted = 5_000
+	maxTryWriteTime = 5_000
 )
 
-// errOutOfStep reports that bytes or the end of the connection have arrived before a command was completely
+// errUnexpectedInput reports that bytes or the end of the connection have arrived before a command was completely
 // written. The bytes would be taken for the beginning of the reply, and the end of the connection for a reset
 // after which the request may have been executed.
-var errOutOfStep = errors.New("unexpected bytes or end of the connection")
+var errUnexpectedInput = errors.New("unexpected bytes or end of the connection")
 
 // commandWrite is the progress of writing an attempt's command.
 type commandWrite struct {
-	command   []byte
-	written   int         // number of bytes written
-	encodedAt policy.Time // when the timeout in the command was computed
-	delay     policy.Time // before the next retry
+	command    []byte
+	written    int         // number of bytes written
+	encodedAt  policy.Time // when the timeout in the command was computed
+	retryDelay policy.Time // before the next retry
 }
 
 // writeAttempt writes the attempt at the head of the pool's queue. The socket nearly always accepts the complete
@@ -44,9 +44,9 @@
 	command := a.encode(now)
 	n, err := c.tryWrite(a, command)
 	switch {
-	case n == 0 && isClientCheck(err):
+	case n == 0 && isClientCheckError(err):
 		c.pool.returnUnused(c)
-		return c.pool.loop.resolveClientCheck(a, err)
+		return c.pool.loop.handleClientCheckError(a, err)
 	case n == 0 && err != nil:
 		if c.nc.HasUnreadBytes() {
 			c.noteUnsolicited(!isNew)
@@ -57,8 +57,8 @@
 	c.pool.queue = c.pool.queue[1:]
 	c.attempt, a.conn = a, c
 	a.state = attemptWriting
-	c.write = commandWrite{command: command, encodedAt: now, delay: minWriteDelay}
-	c.wrote(a, n, err)
+	c.write = commandWrite{command: command, encodedAt: now, retryDelay: minWriteRetryDelay}
+	c.writeDone(a, n, err)
 	c.writeRemainder(a)
 	return true
 }
@@ -72,23 +72,23 @@
 	defer c.mu.Unlock()
 	isNew := c.isNew()
 	begunAt := c.pool.loop.clock()
-	err = c.checkSilent()
+	err = c.checkNothingReceived()
 	if err == nil {
 		err = a.request.checkClient()
 	}
 	if err == nil {
 		n, err = c.nc.TryWrite(rest)
 	}
-	if !isClientCheck(err) && socket.IsTransient(err) {
+	if !isClientCheckError(err) && socket.IsTransient(err) {
 		err = nil
 	}
 	if n == len(rest) {
-		c.sequence.Add(1)
+		c.attemptsWritten.Add(1)
 	}
-	stalled := c.pool.loop.clock()-begunAt > maxUninterrupted
-	if stalled && !isNew && c.checkSilent() != nil {
+	stalled := c.pool.loop.clock()-begunAt > maxTryWriteTime
+	if stalled && !isNew && c.checkNothingReceived() != nil {
 		// A late reply to an earlier request may have arrived between the check and the write.
-		return n, errOutOfStep
+		return n, errUnexpectedInput
 	}
 	return n, err
 }
@@ -103,21 +103,21 @@
 	}
 }
 
-// wrote records a write of n bytes and handles its error, if any.
-func (c *upstreamConn) wrote(a *attempt, n int, err error) {
+// writeDone records a write of n bytes and handles its error, if any.
+func (c *upstreamConn) writeDone(a *attempt, n int, err error) {
 	c.write.written += n
 	if c.write.written == len(c.write.command) {
 		a.state = attemptWritten
 		c.write = commandWrite{}
 	}
 	if err != nil {
-		c.fail(a)
+		c.failAttempt(a)
 	}
 }
 
-// fail closes the connection and ends the attempt that it carries. If the command was not completely written,
+// failAttempt closes the connection and ends the attempt that it carries. If the command was not completely written,
 // the result is ConnectFailed, because a cache does not execute an incomplete command.
-func (c *upstreamConn) fail(a *attempt) {
+func (c *upstreamConn) failAttempt(a *attempt) {
 	result := policy.ConnectionLost
 	if a.state == attemptWriting {
 		result = policy.ConnectFailed
@@ -135,25 +135,25 @@
 			return
 		}
 		n, err := c.tryWrite(a, c.write.command[c.write.written:])
-		if isClientCheck(err) {
-			if !c.pool.loop.resolveClientCheck(a, err) {
-				c.scheduleWrite(a)
+		if isClientCheckError(err) {
+			if !c.pool.loop.handleClientCheckError(a, err) {
+				c.scheduleWriteRetry(a)
 			}
 			return
 		}
-		c.wrote(a, n, err)
+		c.writeDone(a, n, err)
 		if n == 0 && err == nil {
-			c.scheduleWrite(a)
+			c.scheduleWriteRetry(a)
 			return
 		}
-		c.write.delay = minWriteDelay
+		c.write.retryDelay = minWriteRetryDelay
 	}
 }
 
-// scheduleWrite schedules the next write of the command after a delay.
-func (c *upstreamConn) scheduleWrite(a *attempt) {
-	c.pool.loop.scheduleAfter(c.write.delay, func() { c.writeRemainder(a) })
-	c.write.delay = min(2*c.write.delay, maxWriteDelay)
+// scheduleWriteRetry schedules the next write of the command after a delay.
+func (c *upstreamConn) scheduleWriteRetry(a *attempt) {
+	c.pool.loop.scheduleAfter(c.write.retryDelay, func() { c.writeRemainder(a) })
+	c.write.retryDelay = min(2*c.write.retryDelay, maxWriteRetryDelay)
 }
 
 // canContinue reports whether the rest of an attempt's command may be written, and ends the attempt if not.
@@ -169,7 +169,7 @@
 	case !begun:
 		c.write.command, c.write.encodedAt = a.encode(now), now
 	case now-c.write.encodedAt > c.pool.loop.maxWriteTime:
-		c.fail(a) // the cache would count the timeout in the command from too late a time
+		c.failAttempt(a) // the cache would count the timeout in the command from too late a time
 		return false
 	}
 	return true
--- a/internal/router/wall_clock_test.go
+++ b/internal/router/wall_clock_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv.loop.startedUnix += offset
+	srv.loop.startedAtUnix += offset
 	recorder := &updateRecorder{srv.loop.engine, make(chan recordedUpdate, 100)}
 	srv.loop.engine = recorder
 	return startServer(t, srv), recorder
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -30,7 +30,7 @@
 	l.watching = true
 	ctx, cancel := context.WithCancel(l.ctx)
 	l.cancelWatch = cancel
-	w := watch{l.discovery, l.moves}
+	w := watch{l.discovery, l.discoveryMoves}
 	go func(version int64) {
 		defer cancel()
 		l.runWatch(ctx, w, version)
@@ -53,11 +53,11 @@
 
 // listReceived applies a list, unless a newer service than the one that sent it has already sent a list.
 func (l *eventLoop) listReceived(w watch, list discovery.EndpointList) {
-	if w.moves < l.movesAtList {
+	if w.moves < l.lastListMoves {
 		return
 	}
-	l.movesAtList = w.moves
-	if w.moves < l.moves {
+	l.lastListMoves = w.moves
+	if w.moves < l.discoveryMoves {
 		l.applyReplacedEndpoints(list)
 		return
 	}
@@ -67,7 +67,7 @@
 
 // watchEnded handles the end of a watch. It ignores the failure of a watch at a replaced service.
 func (l *eventLoop) watchEnded(w watch, err error) {
-	if w.moves < l.moves {
+	if w.moves < l.discoveryMoves {
 		w.client.CloseIdleConnections()
 		return
 	}
@@ -92,11 +92,11 @@
 		l.endpointsVersion = discovery.NoVersion // the same call would always get the same response
 	}
 	if l.retriesWatch(err) {
-		l.retriesInARow++
+		l.watchRetries++
 		l.scheduleAfter(l.watchBackoff.Next(l.cfg.Settings.DrainGrace), l.startWatch)
 		return
 	}
-	l.retriesInARow = 0
+	l.watchRetries = 0
 	l.watchBackoff.Reset()
 	l.pendingEvents = append(l.pendingEvents, &policy.EndpointsUpdate{Kind: policy.UpdateFailed})
 }
@@ -107,14 +107,14 @@
 // service has recovered, so a fault of this machine or an unusable reply must not cause another such delay.
 // After a move less time is left until the notification deadline.
 func (l *eventLoop) retriesWatch(err error) bool {
-	if !l.cfg.Settings.WatchRequired || l.movedAt > 0 && l.now < l.movedAt+movedRetryTime {
+	if !l.cfg.Settings.WatchRequired || l.discoveryMovedAt > 0 && l.now < l.discoveryMovedAt+movedRetryTime {
 		return true
 	}
 	switch discovery.ClassifyFailure(err) {
 	case discovery.LocalFault:
 		return true // the failed call put no load on the service
 	case discovery.UnusableReply:
-		return l.retriesInARow < maxUnusableReplies
+		return l.watchRetries < maxUnusableReplies
 	default:
 		return false
 	}
@@ -122,10 +122,10 @@
 
 // logWatchFailure logs why a watch failed, at most once in failureLineInterval.
 func (l *eventLoop) logWatchFailure(err error) {
-	if l.now < l.nextFailureLine {
+	if l.now < l.nextWatchFailureLog {
 		return
 	}
-	l.nextFailureLine = l.now + failureLineInterval
+	l.nextWatchFailureLog = l.now + failureLineInterval
 	l.logger.Warn("discovery watch failed", "error", err)
 }
 
@@ -138,11 +138,11 @@
 	l.startTimes.contactLost()
 	l.discovery.CloseIdleConnections()
 	l.discovery = newDiscoveryClient(cfg)
-	l.moves++
+	l.discoveryMoves++
 	l.watching = false
 	l.watchBackoff.Reset()
-	l.movedAt = l.now
-	l.nextFailureLine = l.now
+	l.discoveryMovedAt = l.now
+	l.nextWatchFailureLog = l.now
 	if !l.cfg.Settings.WatchRequired {
 		l.endpointsVersion = discovery.NoVersion
 	}
