--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -14,9 +14,9 @@
 	// acceptBackoff is the delay before the accept loop tries again after a lack of descriptors or a
 	// failed Accept.
 	acceptBackoff = 10 * time.Millisecond
-	// maxAcceptRetries is the number of consecutive failed calls of Accept after which the loop waits for
+	// maxImmediateAcceptRetries is the number of consecutive failed calls of Accept after which the loop waits for
 	// the backoff, whatever the error is.
-	maxAcceptRetries = 100
+	maxImmediateAcceptRetries = 100
 	// firstCommandGrace is the time that a new connection has for its first command to arrive before it
 	// may be evicted.
 	firstCommandGrace = 100 * time.Millisecond
@@ -56,7 +56,7 @@
 			}
 		default:
 			s.noteAcceptStall()
-			if failures.needBackoff(err) {
+			if failures.needsBackoff(err) {
 				time.Sleep(s.acceptBackoff)
 			}
 		}
@@ -65,15 +65,15 @@
 
 // acceptFailures counts consecutive errors of Accept. None of them ends the router: either the process or
 // the machine is short of resources, or a connection has failed while it was queued.
-type acceptFailures struct{ inRow int }
+type acceptFailures struct{ consecutive int }
 
-func (f *acceptFailures) reset() { f.inRow = 0 }
+func (f *acceptFailures) reset() { f.consecutive = 0 }
 
-// needBackoff counts an error and reports whether to wait before the next call. A failed connection
+// needsBackoff counts an error and reports whether to wait before the next call. A failed connection
 // does not delay those queued behind it, unless so many fail in a row that the loop would spin.
-func (f *acceptFailures) needBackoff(err error) bool {
-	f.inRow++
-	return isResourceShortage(err) || f.inRow%maxAcceptRetries == 0
+func (f *acceptFailures) needsBackoff(err error) bool {
+	f.consecutive++
+	return isResourceShortage(err) || f.consecutive%maxImmediateAcceptRetries == 0
 }
 
 // isResourceShortage reports whether the call failed for lack of descriptors, memory or epoll watches, so
@@ -94,12 +94,12 @@
 func (s *Server) waitForDescriptor() bool {
 	for !s.descriptors.acquireClient() {
 		s.noteAcceptStall()
-		if c := s.longestIdle(); c != nil {
+		if c := s.longestIdleClient(); c != nil {
 			c.evicting.Store(true)
 			c.closeWhenIdle()
 		}
 		select {
-		case <-s.ended:
+		case <-s.acceptAborted:
 			return false
 		case <-s.descriptors.clientReleased: // polling alone would be too slow for a long queue
 		case <-time.After(s.acceptBackoff): // another connection may have become idle
@@ -125,14 +125,14 @@
 	}
 }
 
-// longestIdle returns the evictable connection whose last reply is the oldest, or nil if there is none.
-func (s *Server) longestIdle() *clientConn {
+// longestIdleClient returns the evictable connection whose last reply is the oldest, or nil if there is none.
+func (s *Server) longestIdleClient() *clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var longest *clientConn
-	newSince := s.loop.clock() - s.firstCommandGrace.Microseconds()
+	firstCommandCutoff := s.loop.clock() - s.firstCommandGrace.Microseconds()
 	for c := range s.clients {
-		if !c.isEvictable(newSince) {
+		if !c.isEvictable(firstCommandCutoff) {
 			continue
 		}
 		if longest == nil || c.lastReplyAt.Load() < longest.lastReplyAt.Load() {
--- a/internal/router/accept_error_test.go
+++ b/internal/router/accept_error_test.go
@@ -109,20 +109,20 @@
 func TestAcceptBackoff(t *testing.T) {
 	for _, errno := range acceptErrors.shortage {
 		var failures acceptFailures
-		if !failures.needBackoff(&net.OpError{Op: "accept", Err: errno}) {
+		if !failures.needsBackoff(&net.OpError{Op: "accept", Err: errno}) {
 			t.Errorf("no backoff after %v", errno)
 		}
 	}
 	for _, errno := range acceptErrors.connection {
 		var failures acceptFailures
 		backoffs := 0
-		for range 10 * maxAcceptRetries {
-			if failures.needBackoff(&net.OpError{Op: "accept", Err: errno}) {
+		for range 10 * maxImmediateAcceptRetries {
+			if failures.needsBackoff(&net.OpError{Op: "accept", Err: errno}) {
 				backoffs++
 			}
 		}
 		if backoffs != 10 {
-			t.Errorf("%d backoffs in %d times %v", backoffs, 10*maxAcceptRetries, errno)
+			t.Errorf("%d backoffs in %d times %v", backoffs, 10*maxImmediateAcceptRetries, errno)
 		}
 	}
 }
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -93,12 +93,12 @@
 		defer srv.mu.Unlock()
 		return len(srv.clients) == 1
 	})
-	if srv.longestIdle() != nil {
+	if srv.longestIdleClient() != nil {
 		t.Error("a connection may be evicted before its first command")
 	}
 	client.send(encodeCommand("PING"))
 	client.wantLine("+PONG")
-	waitUntil(t, "an idle connection", func() bool { return srv.longestIdle() != nil })
+	waitUntil(t, "an idle connection", func() bool { return srv.longestIdleClient() != nil })
 }
 
 // recoveringDiscovery aborts calls until up is set. Then it leaves watches open and reports each.
--- a/internal/router/arrival_test.go
+++ b/internal/router/arrival_test.go
@@ -85,8 +85,8 @@
 		t.Run(name, func(t *testing.T) {
 			var arrival arrivalTime
 			c.reads(&arrival)
-			if arrival.at != c.want {
-				t.Errorf("it arrived at %d, want %d", arrival.at, c.want)
+			if arrival.earliest != c.want {
+				t.Errorf("it arrived at %d, want %d", arrival.earliest, c.want)
 			}
 		})
 	}
@@ -95,16 +95,16 @@
 // TestArrivalOfBytesReadAhead checks that commands which were read ahead count as having arrived with
 // the first of them, and that those behind them count from the last read.
 func TestArrivalOfBytesReadAhead(t *testing.T) {
-	const since, until = policy.Time(1_000_000), policy.Time(5_000_000)
+	const notBefore, readUntil = policy.Time(1_000_000), policy.Time(5_000_000)
 	reader := &commandReader{
 		conn:  &clientConn{srv: &Server{memory: newMemoryBudget(192)}},
 		buf:   make([]byte, 0, minReadBuffer),
-		ahead: readAhead{bytes: []byte(getCommand("r1")), since: since, until: until},
+		ahead: readAhead{bytes: []byte(getCommand("r1")), notBefore: notBefore, readUntil: readUntil},
 	}
-	if !reader.takeAhead() || reader.arrival.at != since {
-		t.Errorf("commands read ahead count from %d, want %d", reader.arrival.at, since)
+	if !reader.takeReadAhead() || reader.arrival.earliest != notBefore {
+		t.Errorf("commands read ahead count from %d, want %d", reader.arrival.earliest, notBefore)
 	}
-	if reader.arrival.mayHaveWaited(until + maxReadGap) {
+	if reader.arrival.mayHaveWaited(readUntil + maxReadGap) {
 		t.Error("bytes behind them count as having waited since the first read")
 	}
 }
--- a/internal/router/backlog_probe.go
+++ b/internal/router/backlog_probe.go
@@ -9,25 +9,25 @@
 	reader, writer *os.File
 }
 
-// newBacklogProbe returns a probe that calls returned, in a separate goroutine, once for each send. It
+// newBacklogProbe returns a probe that calls onReturn, in a separate goroutine, once for each send. It
 // returns nil if the system can't create a pipe.
-func newBacklogProbe(returned func()) *backlogProbe {
+func newBacklogProbe(onReturn func()) *backlogProbe {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		return nil
 	}
 	p := &backlogProbe{reader, writer}
-	go p.run(returned)
+	go p.run(onReturn)
 	return p
 }
 
-func (p *backlogProbe) run(returned func()) {
+func (p *backlogProbe) run(onReturn func()) {
 	buf := make([]byte, 1)
 	for {
 		if _, err := p.reader.Read(buf); err != nil {
 			return // the probe is closed
 		}
-		returned()
+		onReturn()
 	}
 }
 
--- a/internal/router/backlog_probe_test.go
+++ b/internal/router/backlog_probe_test.go
@@ -22,7 +22,7 @@
 	now := start + stall
 	want := func(since policy.Time, probes int) {
 		t.Helper()
-		if got := m.arrivedSince(now); got != since {
+		if got := m.earliestArrival(now); got != since {
 			t.Errorf("%d after the stall: arrived since %d, want %d", now-start-stall, got-start, since-start)
 		}
 		if sent != probes {
@@ -60,11 +60,11 @@
 	for ; now <= minStall+maxProbeTime+backlogTime; now += minStall / 2 {
 		m.beat(now)
 	}
-	if got := m.arrivedSince(now); got != now {
+	if got := m.earliestArrival(now); got != now {
 		t.Errorf("arrived since %d, want %d", got, now)
 	}
 	m.probeReturned(now)
-	if got := m.arrivedSince(now); got != now {
+	if got := m.earliestArrival(now); got != now {
 		t.Errorf("arrived since %d behind the lost probe, want %d", got, now)
 	}
 }
--- a/internal/router/client_commands.go
+++ b/internal/router/client_commands.go
@@ -41,7 +41,7 @@
 		return c.reply(c.pingReply(args))
 	case resp.VerbQuit:
 		c.reader.last.afterQuit = true
-		c.reader.end() // commands after QUIT that have been read are answered as well
+		c.reader.endAfterCurrent() // commands after QUIT that have been read are answered as well
 		return c.reply([]byte(resp.OKReply))
 	case resp.VerbGet, resp.VerbSet:
 		return c.handleRequest(raw, arrivedAt)
@@ -91,8 +91,8 @@
 	slot.charge = charge
 	if result := c.enqueue(slot); result != enqueued {
 		slot.memory.release(slot.charge)
-		if result == enqueueGone {
-			return connGone
+		if result == enqueueDisconnected {
+			return connDisconnected
 		}
 		c.srv.loop.noteRejected(c, cmd, rejectPipelined)
 		return connOpen
--- a/internal/router/client_conn.go
+++ b/internal/router/client_conn.go
@@ -28,57 +28,57 @@
 type connState uint8
 
 const (
-	connOpen      connState = iota // further commands are read
-	connClosing                    // nothing more is read; the client may still read its replies
-	connMalformed                  // like connClosing, but what follows can't be parsed into commands
-	connGone                       // the client has disconnected
+	connOpen         connState = iota // further commands are read
+	connClosing                       // nothing more is read; the client may still read its replies
+	connMalformed                     // like connClosing, but what follows can't be parsed into commands
+	connDisconnected                  // the client has disconnected
 )
 
 // clientConn is a client's connection. A reader takes commands from it and queues a reply slot for
 // each, and a writer sends the replies in that order.
 type clientConn struct {
-	srv            *Server
-	nc             *socket.Conn
-	requests       map[int64]*request // without a final reply; owned by the event loop
-	gone           bool               // the client has disconnected; owned by the event loop
-	reader         *commandReader     // owned by the reader's goroutine
-	replies        *replyQueue
-	draining       atomic.Bool  // the connection is closed once no request is in flight
-	evicting       atomic.Bool  // draining for lack of descriptors; shortens the time for partial commands
-	pendingReplies atomic.Int64 // commands whose replies have not been written
-	openRequests   atomic.Int64 // requests without a final reply that the policy decides about
-	awaitsRoom     atomic.Bool  // the reader waits for space in the reply queue, or for bytes to read ahead
-	readingStopped atomic.Bool  // the reader reads nothing more; bytes that arrive stay unread
-	aheadCharge    atomic.Int64 // bytes of the memory budget held by bytes that are read ahead
-	hasCommand     atomic.Bool  // a command has been received
-	lastReplyAt    atomic.Int64 // time of the last reply, or of the accept if there was none; policy.Time
+	srv              *Server
+	nc               *socket.Conn
+	requests         map[int64]*request // without a final reply; owned by the event loop
+	disconnected     bool               // the client has disconnected; owned by the event loop
+	reader           *commandReader     // owned by the reader's goroutine
+	replies          *replyQueue
+	draining         atomic.Bool  // the connection is closed once no request is in flight
+	evicting         atomic.Bool  // draining for lack of descriptors; shortens the time for partial commands
+	pendingReplies   atomic.Int64 // commands whose replies have not been written
+	openRequests     atomic.Int64 // requests without a final reply that the policy decides about
+	awaitsQueueSpace atomic.Bool  // the reader waits for space in the reply queue, or for bytes to read ahead
+	readingStopped   atomic.Bool  // the reader reads nothing more; bytes that arrive stay unread
+	readAheadCharge  atomic.Int64 // bytes of the memory budget held by bytes that are read ahead
+	hasCommand       atomic.Bool  // a command has been received
+	lastReplyAt      atomic.Int64 // time of the last reply, or of the accept if there was none; policy.Time
 
 	lingering   atomic.Bool   // all replies are written, and the client is given time to read them
 	lingerEnd   atomic.Int64  // when lingering ends if all replies are acknowledged; policy.Time
 	lingerLimit atomic.Int64  // when lingering ends in any case; policy.Time
-	readEnded   chan struct{} // closed when the reader's goroutine ends
+	readerDone  chan struct{} // closed when the reader's goroutine ends
 }
 
 // newClientConn returns the state of an accepted connection. queuedSince is the earliest time from which it
 // may have waited in the listener's queue, or 0 if it was accepted immediately.
 func newClientConn(s *Server, nc *socket.Conn, queuedSince policy.Time) *clientConn {
 	c := &clientConn{
-		srv:       s,
-		nc:        nc,
-		requests:  map[int64]*request{},
-		replies:   newReplyQueue(),
-		readEnded: make(chan struct{}),
+		srv:        s,
+		nc:         nc,
+		requests:   map[int64]*request{},
+		replies:    newReplyQueue(),
+		readerDone: make(chan struct{}),
 	}
 	now := s.loop.clock()
-	c.reader = newCommandReader(c, c.firstBytesSince(queuedSince, now))
+	c.reader = newCommandReader(c, c.earliestUnreadArrival(queuedSince, now))
 	c.lastReplyAt.Store(now)
 	return c
 }
 
-// firstBytesSince returns the earliest time at which the unread bytes of a new connection may have arrived.
+// earliestUnreadArrival returns the earliest time at which the unread bytes of a new connection may have arrived.
 // If the system reports when the last bytes arrived, the result is no earlier than that.
-func (c *clientConn) firstBytesSince(queuedSince, now policy.Time) policy.Time {
-	since := c.srv.loop.stalls.arrivedSince(now)
+func (c *clientConn) earliestUnreadArrival(queuedSince, now policy.Time) policy.Time {
+	since := c.srv.loop.stalls.earliestArrival(now)
 	if queuedSince != 0 {
 		since = min(since, queuedSince)
 	}
@@ -96,27 +96,27 @@
 }
 
 // isEvictable reports whether the connection may be closed for lack of descriptors: it is idle, and it has
-// sent a command or was accepted before newSince. On a newer connection the first command is probably on its
-// way and would be lost.
-func (c *clientConn) isEvictable(newSince policy.Time) bool {
+// sent a command or was accepted before firstCommandCutoff. On a newer connection the first command is
+// probably on its way and would be lost.
+func (c *clientConn) isEvictable(firstCommandCutoff policy.Time) bool {
 	if c.pendingReplies.Load() != 0 || c.draining.Load() {
 		return false
 	}
-	return c.hasCommand.Load() || c.lastReplyAt.Load() < newSince
+	return c.hasCommand.Load() || c.lastReplyAt.Load() < firstCommandCutoff
 }
 
 // readLoop handles commands until the client disconnects or no more commands are accepted on the connection.
 // It then waits until the connection may be closed.
 func (c *clientConn) readLoop() {
 	defer c.srv.wg.Done()
-	defer close(c.readEnded)
+	defer close(c.readerDone)
 	state, reason := c.readCommands()
 	c.noteClosed(reason, c.reader.unhandled())
-	c.reader.dropAhead()
+	c.reader.dropReadAhead()
 	c.replies.close()
 	switch state {
-	case connGone:
-		c.reportGone()
+	case connDisconnected:
+		c.reportDisconnect()
 	case connMalformed:
 		c.discard()
 	default:
@@ -124,8 +124,8 @@
 	}
 }
 
-// reportGone makes the event loop end the client's requests.
-func (c *clientConn) reportGone() {
+// reportDisconnect makes the event loop end the client's requests.
+func (c *clientConn) reportDisconnect() {
 	c.srv.loop.post(func() { c.srv.loop.clientDisconnected(c) })
 }
 
@@ -134,12 +134,12 @@
 func (c *clientConn) awaitHangup() {
 	c.readingStopped.Store(true)
 	for {
-		c.nc.SetReadDeadline(time.Now().Add(c.lingerWait()))
-		if c.lingerOver() {
+		c.nc.SetReadDeadline(time.Now().Add(c.lingerCheckDelay()))
+		if c.lingerExpired() {
 			return
 		}
 		if err := c.nc.AwaitHangup(); !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.reportGone()
+			c.reportDisconnect()
 			return
 		}
 	}
@@ -157,14 +157,14 @@
 		switch {
 		case err == nil:
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			c.reportGone()
+			c.reportDisconnect()
 			return
-		case c.lingerOver():
+		case c.lingerExpired():
 			return
 		default: // the deadline of a command has passed, or the writer has interrupted the read
 			c.nc.SetReadDeadline(time.Time{})
 			if c.lingering.Load() {
-				c.nc.SetReadDeadline(time.Now().Add(c.lingerWait()))
+				c.nc.SetReadDeadline(time.Now().Add(c.lingerCheckDelay()))
 			}
 		}
 	}
@@ -175,9 +175,9 @@
 type enqueueResult uint8
 
 const (
-	enqueued        enqueueResult = iota
-	enqueueRejected               // the command is rejected
-	enqueueGone                   // the client has disconnected
+	enqueued            enqueueResult = iota
+	enqueueRejected                   // the command is rejected
+	enqueueDisconnected               // the client has disconnected
 )
 
 // enqueue queues the reply slot of a command. While the queue is full, it reads ahead what the client sends.
@@ -188,8 +188,8 @@
 	if c.replies.tryAdd(slot) {
 		return enqueued
 	}
-	c.awaitsRoom.Store(true)
-	defer c.awaitsRoom.Store(false)
+	c.awaitsQueueSpace.Store(true)
+	defer c.awaitsQueueSpace.Store(false)
 	for {
 		// The deadline is set before tryAdd: a writer that frees space after tryAdd changes the deadline and
 		// so ends the wait below.
@@ -198,13 +198,13 @@
 		case c.replies.tryAdd(slot):
 			return enqueued
 		case c.hungUp():
-			return enqueueGone
+			return enqueueDisconnected
 		}
 		await := c.nc.AwaitReadable
 		switch {
 		case c.reader.isEnding():
 			await = c.nc.AwaitHangup // nothing more is read
-		case c.reader.readMore():
+		case c.reader.fillReadAhead():
 		case c.openRequests.Load() > 0:
 			c.replies.addRejected()
 			return enqueueRejected
@@ -219,16 +219,16 @@
 func (c *clientConn) reply(reply []byte) connState {
 	slot := newReplySlot(c.srv.memory)
 	switch c.enqueue(slot) {
-	case enqueueGone:
-		return connGone
+	case enqueueDisconnected:
+		return connDisconnected
 	case enqueued:
 		slot.fill(reply) // only once queued: fill acquires memory that the writer releases
 	}
 	return connOpen
 }
 
-// replyAndLeave queues the last reply of the connection, which the router itself gives, and returns next.
-func (c *clientConn) replyAndLeave(reply []byte, next connState) connState {
+// replyLast queues the last reply of the connection, which the router itself gives, and returns next.
+func (c *clientConn) replyLast(reply []byte, next connState) connState {
 	slot := newReplySlot(c.srv.memory)
 	c.pendingReplies.Add(1)
 	c.replies.addLast(slot)
--- a/internal/router/client_socket.go
+++ b/internal/router/client_socket.go
@@ -15,16 +15,16 @@
 	return err == nil && hungUp
 }
 
-// maxUnreadBeforeEnd is the number of unread bytes from which on the receive window may be full. A client's
-// FIN is then not sent until the router reads. The receive window is larger than this on any system.
-const maxUnreadBeforeEnd = 16 << 10
+// minUnreadHidingDisconnect is the number of unread bytes from which on the receive window may be full. A
+// client's FIN is then not sent until the router reads. The receive window is larger than this on any system.
+const minUnreadHidingDisconnect = 16 << 10
 
-// errEndHidden reports that unread bytes, which will be read, may hide a disconnect of the client.
-var errEndHidden = errors.New("unread bytes may hide a disconnect of the client")
+// errDisconnectHidden reports that unread bytes, which will be read, may hide a disconnect of the client.
+var errDisconnectHidden = errors.New("unread bytes may hide a disconnect of the client")
 
-// errEndUnknown reports that a disconnect of the client can't be detected, because bytes that will not be
-// read are in front of it.
-var errEndUnknown = errors.New("disconnect of the client can't be detected: the connection is no longer read")
+// errDisconnectUndetectable reports that a disconnect of the client can't be detected, because bytes that will
+// not be read are in front of it.
+var errDisconnectUndetectable = errors.New("can't detect a disconnect of the client: nothing more is read")
 
 // checkHangup is like hungUp, but returns an error if it can't determine whether the client has disconnected.
 func (c *clientConn) checkHangup() (bool, error) {
@@ -36,11 +36,11 @@
 	case err != nil || peer.HungUp || !peer.Readable:
 		return peer.HungUp, err
 	case c.readingStopped.Load():
-		return false, errEndUnknown
+		return false, errDisconnectUndetectable
 	}
 	unread, err := c.nc.UnreadBytes()
-	if err == nil && unread >= maxUnreadBeforeEnd {
-		err = errEndHidden
+	if err == nil && unread >= minUnreadHidingDisconnect {
+		err = errDisconnectHidden
 	}
 	return false, err
 }
--- a/internal/router/client_writer.go
+++ b/internal/router/client_writer.go
@@ -28,7 +28,7 @@
 	defer c.srv.wg.Done()
 	connected, answered := true, false
 	for slot := c.replies.next(); slot != nil; slot = c.replies.next() {
-		if c.awaitsRoom.Load() {
+		if c.awaitsQueueSpace.Load() {
 			c.interruptRead()
 		}
 		answered = answered || connected
@@ -38,7 +38,7 @@
 			continue
 		}
 		batch := c.collectReplies(slot)
-		connected = connected && c.writeReply(batch.wire)
+		connected = connected && c.writeReply(batch.encoded)
 		c.srv.memory.release(batch.charge)
 		c.repliesDone(batch.replies)
 	}
@@ -53,7 +53,7 @@
 
 // replyBatch holds replies that are written with one call.
 type replyBatch struct {
-	wire    []byte // encoded replies; nil if the last slot got no reply
+	encoded []byte // encoded replies; nil if the last slot got no reply
 	charge  int64  // bytes of the memory budget held by the replies and their requests
 	replies int    // number of slots in the batch
 }
@@ -61,9 +61,9 @@
 // collectReplies waits for the reply of a slot and appends the following replies that are already available.
 func (c *clientConn) collectReplies(slot *replySlot) replyBatch {
 	// Clip makes append copy the reply, as its backing array may be shared.
-	batch := replyBatch{wire: slices.Clip(c.awaitReply(slot)), replies: 1}
-	batch.charge = slot.charge + int64(len(batch.wire))
-	for batch.wire != nil && len(batch.wire) < maxReplyBatch {
+	batch := replyBatch{encoded: slices.Clip(c.awaitReply(slot)), replies: 1}
+	batch.charge = slot.charge + int64(len(batch.encoded))
+	for batch.encoded != nil && len(batch.encoded) < maxReplyBatch {
 		slot = c.replies.takeReady()
 		if slot == nil {
 			break
@@ -72,17 +72,17 @@
 		batch.charge += slot.charge + int64(len(reply))
 		batch.replies++
 		if reply == nil {
-			_ = c.writeReply(batch.wire) // the connection is closed after these replies
-			batch.wire = nil
+			_ = c.writeReply(batch.encoded) // the connection is closed after these replies
+			batch.encoded = nil
 			break
 		}
-		batch.wire = append(batch.wire, reply...)
+		batch.encoded = append(batch.encoded, reply...)
 	}
 	return batch
 }
 
-// awaitReply waits for the reply of a slot. It returns nil if the client is gone or the event loop has ended
-// without a reply.
+// awaitReply waits for the reply of a slot. It returns nil if the client has disconnected or the event loop has
+// ended without a reply.
 func (c *clientConn) awaitReply(slot *replySlot) []byte {
 	select {
 	case reply := <-slot.reply:
@@ -98,7 +98,7 @@
 }
 
 // writeReply writes a reply and reports whether the client is still connected. If there is no reply or the
-// write fails, it closes the connection; the reader then reports the client as gone.
+// write fails, it closes the connection; the reader then reports the disconnect.
 func (c *clientConn) writeReply(reply []byte) bool {
 	if reply != nil && c.writeAll(reply) == nil {
 		return true
@@ -123,12 +123,12 @@
 // writeAll writes all bytes within writeTimeout. It retries at a fixed interval instead of relying on the
 // socket to become writable, since no such event follows a write that failed for lack of memory.
 func (c *clientConn) writeAll(b []byte) error {
-	timeout := time.Now().Add(writeTimeout)
+	deadline := time.Now().Add(writeTimeout)
 	for {
 		c.nc.SetWriteDeadline(time.Now().Add(writeRetryInterval))
 		n, err := c.nc.Write(b)
 		b = b[n:]
-		if !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(timeout) {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(deadline) {
 			return err
 		}
 	}
@@ -164,17 +164,17 @@
 	}
 	c.lingering.Store(true)
 	c.interruptRead()
-	<-c.readEnded
+	<-c.readerDone
 }
 
-// lingerWait returns how long to wait before the next call of lingerOver.
-func (c *clientConn) lingerWait() time.Duration {
+// lingerCheckDelay returns how long to wait before the next call of lingerExpired.
+func (c *clientConn) lingerCheckDelay() time.Duration {
 	remaining := time.Duration(c.lingerEnd.Load()-c.srv.loop.clock()) * time.Microsecond
 	return max(remaining, hangupCheckInterval)
 }
 
-// lingerOver reports whether the client has had enough time to read the last reply.
-func (c *clientConn) lingerOver() bool {
+// lingerExpired reports whether the client has had enough time to read the last reply.
+func (c *clientConn) lingerExpired() bool {
 	now := c.srv.loop.clock()
 	switch {
 	case !c.lingering.Load() || now < c.lingerEnd.Load():
@@ -190,7 +190,7 @@
 // connection whose PING checks whether the router is ready.
 func (c *clientConn) lingerTime() time.Duration {
 	if c.evicting.Load() {
-		return min(evictGrace, c.srv.lingerTime)
+		return min(evictionGrace, c.srv.lingerTime)
 	}
 	return c.srv.lingerTime
 }
--- a/internal/router/command_arrival.go
+++ b/internal/router/command_arrival.go
@@ -14,27 +14,27 @@
 // from when it sent the request, even if the request stays unread because the replies to earlier ones have
 // to be written first.
 type arrivalTime struct {
-	at         policy.Time // earliest time at which the last bytes may have arrived
-	readAt     policy.Time // end of the last read
-	previousAt policy.Time // end of the read before the last one
-	filled     bool        // the last read filled its buffer, so more bytes may have been available
+	earliest       policy.Time // earliest time at which the last bytes may have arrived
+	lastReadAt     policy.Time // end of the last read
+	previousReadAt policy.Time // end of the read before the last one
+	bufferFilled   bool        // the last read filled its buffer, so more bytes may have been available
 }
 
 // mayHaveWaited reports whether bytes that are unread now may have arrived some time ago.
 func (t *arrivalTime) mayHaveWaited(now policy.Time) bool {
-	return t.filled || now-t.readAt > maxReadGap
+	return t.bufferFilled || now-t.lastReadAt > maxReadGap
 }
 
 // noteRead records a read that has just ended. waited reports whether bytes were unread before the read that
-// may have arrived some time ago; filled reports whether the read filled its buffer.
-func (t *arrivalTime) noteRead(now policy.Time, waited, filled bool) {
+// may have arrived some time ago; bufferFilled reports whether the read filled its buffer.
+func (t *arrivalTime) noteRead(now policy.Time, waited, bufferFilled bool) {
 	switch {
 	case !waited:
-		t.at = now
-	case !t.filled:
-		t.at = t.readAt // the previous read returned everything that had arrived
+		t.earliest = now
+	case !t.bufferFilled:
+		t.earliest = t.lastReadAt // the previous read returned everything that had arrived
 	}
-	t.previousAt, t.readAt, t.filled = t.readAt, now, filled
+	t.previousReadAt, t.lastReadAt, t.bufferFilled = t.lastReadAt, now, bufferFilled
 }
 
 // noteDataAge records how many microseconds before the last read the last bytes arrived, as reported by the
@@ -42,15 +42,17 @@
 // that arrived before the previous read were returned by that read.
 func (t *arrivalTime) noteDataAge(age policy.Time) {
 	if age >= minDataAge {
-		t.at = min(t.at, max(t.readAt-age, t.previousAt))
+		t.earliest = min(t.earliest, max(t.lastReadAt-age, t.previousReadAt))
 	}
 }
 
 // noteStall records the earliest time at which the bytes of the last read may have arrived if the process was
 // stalled before the read. Bytes that arrived before the previous read were returned by that read.
-func (t *arrivalTime) noteStall(since policy.Time) { t.at = min(t.at, max(since, t.previousAt)) }
+func (t *arrivalTime) noteStall(since policy.Time) {
+	t.earliest = min(t.earliest, max(since, t.previousReadAt))
+}
 
 // noteEmptyRead records a read or a check that found no bytes.
 func (t *arrivalTime) noteEmptyRead(now policy.Time) {
-	t.readAt, t.filled = now, false
+	t.lastReadAt, t.bufferFilled = now, false
 }
--- a/internal/router/command_reader.go
+++ b/internal/router/command_reader.go
@@ -17,9 +17,9 @@
 	maxIdleBuffer = 8 << 10
 	// commandTimeout is the timeout of a connection's first command, and of the rest of any partial command.
 	commandTimeout = 2200 * time.Millisecond
-	// evictGrace is the timeout of the rest of a partial command on a connection that is being evicted. It
+	// evictionGrace is the timeout of the rest of a partial command on a connection that is being evicted. It
 	// also bounds the linger time of such a connection.
-	evictGrace = 100 * time.Millisecond
+	evictionGrace = 100 * time.Millisecond
 )
 
 // errCommandTimeout reports that the rest of a command did not arrive in time. Bytes of it that arrive later
@@ -46,14 +46,14 @@
 
 // commandReader reads commands from a client's connection.
 type commandReader struct {
-	conn     *clientConn
-	buf      []byte      // bytes received and not yet handled
-	deadline time.Time   // of the first command, or of the rest of a partial one; zero if none is pending
-	evicting bool        // the deadline has been brought forward because the connection is being evicted
-	arrival  arrivalTime // of the last bytes in buf
-	ahead    readAhead   // bytes that follow buf, received while the reply queue was full
-	late     int         // bytes read by readArrived since the last command
-	last     lastCommand // state of the last command, once no further one may begin
+	conn              *clientConn
+	buf               []byte      // bytes received and not yet handled
+	deadline          time.Time   // of the first command, or of the rest of a partial one; zero if none is pending
+	deadlineShortened bool        // the deadline has been brought forward because the connection is being evicted
+	arrival           arrivalTime // of the last bytes in buf
+	ahead             readAhead   // bytes that follow buf, received while the reply queue was full
+	bytesBeforeClose  int         // bytes read by readBeforeClose since the last command
+	last              lastCommand // state of the last command, once no further one may begin
 }
 
 // newCommandReader returns a reader with a deadline for the first command, so that a silent peer does not
@@ -63,20 +63,20 @@
 	return &commandReader{
 		conn:     c,
 		deadline: time.Now().Add(c.srv.commandTimeout),
-		arrival:  arrivalTime{readAt: unreadSince},
+		arrival:  arrivalTime{lastReadAt: unreadSince},
 	}
 }
 
 // readCommands reads and handles commands until no more are accepted on the connection. It returns
-// connClosing, connMalformed or connGone, and the reason.
+// connClosing, connMalformed or connDisconnected, and the reason.
 func (c *clientConn) readCommands() (connState, closeReason) {
 	r := c.reader
 	for {
 		args, raw, err := r.next()
 		if err != nil {
-			return c.readFailed(err)
+			return c.handleReadError(err)
 		}
-		if state := c.handleCommand(args, raw, r.arrival.at); state != connOpen {
+		if state := c.handleCommand(args, raw, r.arrival.earliest); state != connOpen {
 			return state, closedByClient
 		}
 		if len(args) > 0 {
@@ -87,25 +87,25 @@
 	}
 }
 
-// readFailed handles an error of commandReader.next. It queues an error reply where the protocol has one.
-func (c *clientConn) readFailed(err error) (connState, closeReason) {
+// handleReadError handles an error of commandReader.next. It queues an error reply where the protocol has one.
+func (c *clientConn) handleReadError(err error) (connState, closeReason) {
 	var malformed *protocolError
 	switch {
 	case errors.Is(err, errCommandTimeout):
-		return c.replyAndLeave(c.incompleteReply(), connClosing), closedIncomplete
+		return c.replyLast(c.incompleteReply(), connClosing), closedIncomplete
 	case errors.As(err, &malformed):
-		return c.replyAndLeave(malformed.reply(), connMalformed), closedMalformed
+		return c.replyLast(malformed.reply(), connMalformed), closedMalformed
 	case errors.Is(err, errIdleClose):
 		return connClosing, c.idleCloseReason()
 	default:
-		return connGone, closedByClient
+		return connDisconnected, closedByClient
 	}
 }
 
 // incompleteReply returns the reply to a command that did not arrive completely in time. If the router
 // allowed less time than usual, the client did nothing wrong, and BUSY tells it to send the command again.
 func (c *clientConn) incompleteReply() []byte {
-	if c.reader.last.isNext || c.reader.evicting {
+	if c.reader.last.ending || c.reader.deadlineShortened {
 		return []byte(resp.BusyReply)
 	}
 	return (&protocolError{errCommandTimeout}).reply()
@@ -116,7 +116,7 @@
 	switch {
 	case c.reader.last.afterQuit:
 		return closedQuit
-	case c.srv.readingEnded.Load():
+	case c.srv.noNewCommands.Load():
 		return closedFinalReplies
 	case c.evicting.Load():
 		return closedEvicted
@@ -160,7 +160,7 @@
 // fill appends the result of one read to the buffer. It may add no bytes and still return no error.
 func (r *commandReader) fill() error {
 	r.grow()
-	if r.takeAhead() {
+	if r.takeReadAhead() {
 		return nil
 	}
 	r.updateDeadline()
@@ -168,8 +168,8 @@
 	switch {
 	case r.isEnding():
 		return r.readLast()
-	case len(r.buf) == 0 && r.conn.closesBetweenRequests():
-		return r.readArrived(errIdleClose)
+	case len(r.buf) == 0 && r.conn.isDrained():
+		return r.readBeforeClose(errIdleClose)
 	}
 	_, err := r.readWith(r.readWhileNotEnding, cap(r.buf))
 	switch {
@@ -180,30 +180,30 @@
 	case r.deadline.IsZero() || time.Now().Before(r.deadline):
 		return nil // interruptRead has ended the read: the next call checks whether to close
 	case len(r.buf) > 0:
-		return r.readArrived(errCommandTimeout)
+		return r.readBeforeClose(errCommandTimeout)
 	default:
-		return r.readArrived(errIdleClose)
+		return r.readBeforeClose(errIdleClose)
 	}
 }
 
 // readWhileNotEnding waits for bytes and reads them, unless the server has stopped reading new commands.
 func (r *commandReader) readWhileNotEnding(b []byte) (int, error) {
-	return r.conn.nc.ReadWhile(b, func() bool { return !r.conn.srv.readingEnded.Load() })
+	return r.conn.nc.ReadWhile(b, func() bool { return !r.conn.srv.noNewCommands.Load() })
 }
 
-// readWith appends the result of one call of read to the buffer, whose length does not exceed most bytes, and
-// records when the bytes arrived.
-func (r *commandReader) readWith(read func([]byte) (int, error), most int) (n int, err error) {
+// readWith appends the result of one call of read to the buffer, up to a length of limit bytes, and records
+// when the bytes arrived.
+func (r *commandReader) readWith(read func([]byte) (int, error), limit int) (n int, err error) {
 	loop := r.conn.srv.loop
-	waited := r.lookForUnread()
-	n, err = read(r.buf[len(r.buf):most])
+	waited := r.hasOldUnread()
+	n, err = read(r.buf[len(r.buf):limit])
 	r.buf = r.buf[:len(r.buf)+n]
 	if n > 0 {
 		age, ageErr := r.conn.nc.LastDataAge()
 		now := loop.clock()
-		r.arrival.noteRead(now, waited, len(r.buf) == most)
+		r.arrival.noteRead(now, waited, len(r.buf) == limit)
 		// The system reports the age of the last bytes only, so a stall is recorded in any case.
-		r.arrival.noteStall(loop.stalls.arrivedSince(now))
+		r.arrival.noteStall(loop.stalls.earliestArrival(now))
 		if ageErr == nil {
 			r.arrival.noteDataAge(age.Microseconds())
 		}
@@ -213,8 +213,8 @@
 	return n, err
 }
 
-// lookForUnread reports whether there are unread bytes that may have arrived some time ago.
-func (r *commandReader) lookForUnread() bool {
+// hasOldUnread reports whether there are unread bytes that may have arrived some time ago.
+func (r *commandReader) hasOldUnread() bool {
 	now := r.conn.srv.loop.clock()
 	if !r.arrival.mayHaveWaited(now) {
 		return false
@@ -226,16 +226,16 @@
 	return false
 }
 
-// readArrived makes a last read without waiting before the connection is closed for the given reason. It
+// readBeforeClose makes a last read without waiting before the connection is closed for the given reason. It
 // returns that reason if nothing has arrived. The deadline of a read may pass although bytes have arrived,
 // and a request that arrived in time must be served. After more than resp.MaxCommandSize bytes without a
 // complete command it returns the reason without a read.
-func (r *commandReader) readArrived(reason error) error {
-	if r.late > resp.MaxCommandSize {
+func (r *commandReader) readBeforeClose(reason error) error {
+	if r.bytesBeforeClose > resp.MaxCommandSize {
 		return reason
 	}
 	n, err := r.readWith(r.conn.nc.ReadAvailable, cap(r.buf))
-	r.late += n
+	r.bytesBeforeClose += n
 	if n == 0 && err == nil {
 		return reason
 	}
@@ -258,12 +258,12 @@
 	if r.deadline.IsZero() {
 		r.deadline = time.Now().Add(r.conn.srv.commandTimeout)
 	}
-	if r.evicting || !r.conn.evicting.Load() {
+	if r.deadlineShortened || !r.conn.evicting.Load() {
 		return
 	}
-	if grace := time.Now().Add(evictGrace); grace.Before(r.deadline) {
+	if grace := time.Now().Add(evictionGrace); grace.Before(r.deadline) {
 		r.deadline = grace
-		r.evicting = true
+		r.deadlineShortened = true
 	}
 }
 
@@ -272,13 +272,13 @@
 
 func (r *commandReader) clearDeadline() {
 	r.deadline = time.Time{}
-	r.evicting = false
-	r.late = 0
+	r.deadlineShortened = false
+	r.bytesBeforeClose = 0
 }
 
-// closesBetweenRequests reports whether the connection is draining and has no pending reply. While replies
+// isDrained reports whether the connection is draining and has no pending reply. While replies
 // are pending, the router continues to read, because it has to accept a command that follows on an open
 // connection.
-func (c *clientConn) closesBetweenRequests() bool {
+func (c *clientConn) isDrained() bool {
 	return c.draining.Load() && c.pendingReplies.Load() == 0
 }
--- a/internal/router/drain_hang_test.go
+++ b/internal/router/drain_hang_test.go
@@ -62,7 +62,7 @@
 	receive(t, write.begun, "write of the reply")
 	client.send(getCommand("r2")) // stays unread, or is answered at once
 	router.stop()
-	waitUntil(t, "the end of reading", srv.readingEnded.Load)
+	waitUntil(t, "the end of reading", srv.noNewCommands.Load)
 	select {
 	case err := <-router.ended:
 		t.Errorf("the router ended with %v before its reply was written", err)
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -78,7 +78,7 @@
 // wantOpen checks that the connection stays open for longer than an evicted one.
 func (c *testClient) wantOpen() {
 	c.t.Helper()
-	c.setReadDeadline(3 * evictGrace)
+	c.setReadDeadline(3 * evictionGrace)
 	if b, err := c.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.t.Fatalf("got %q, %v from a connection that is to stay open", b, err)
 	}
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -33,7 +33,7 @@
 // known at the move.
 func (l *eventLoop) applyReplacedEndpoints(list discovery.EndpointList) {
 	l.updateEndpoints(list, list.Kind())
-	l.startTimes.contactLost()
+	l.startTimes.noteContactLost()
 }
 
 // updateEndpoints updates the pools from an endpoint list and queues the list for the policy. Both get the
--- a/internal/router/hidden_end_test.go
+++ b/internal/router/hidden_end_test.go
@@ -22,7 +22,7 @@
 	const lines = "\r\n"
 	client.send(lines)
 	receive(t, reading.begun, "read")
-	client.send(strings.Repeat(lines, maxUnreadBeforeEnd))
+	client.send(strings.Repeat(lines, minUnreadHidingDisconnect))
 	waitUntil(t, "unread bytes", func() bool { _, err := req.client.checkHangup(); return err != nil })
 	d.do(func() { d.perform(req, "c1") })
 	d.harness.sendAttempt(d.harness.newRequest(nil), long)
--- a/internal/router/last_command.go
+++ b/internal/router/last_command.go
@@ -21,25 +21,25 @@
 // lastCommand is the state of the last command of a connection that the router closes while the client may
 // still be sending commands.
 type lastCommand struct {
-	isNext    bool      // the command being read is the last one; if none has begun, nothing more is read
-	due       time.Time // deadline of its last byte
-	reads     int       // number of reads for its rest
+	ending    bool      // the command being read is the last one; if none has begun, nothing more is read
+	deadline  time.Time // deadline of its last byte
+	restReads int       // number of reads for its rest
 	afterQuit bool      // the client has sent QUIT
 }
 
 // isEnding reports whether no further command may begin.
 func (r *commandReader) isEnding() bool {
-	if !r.last.isNext && r.conn.srv.readingEnded.Load() {
-		r.end()
+	if !r.last.ending && r.conn.srv.noNewCommands.Load() {
+		r.endAfterCurrent()
 	}
-	return r.last.isNext
+	return r.last.ending
 }
 
-// end makes the command that is being read, if any, the last one of the connection. Its rest may already have
-// arrived.
-func (r *commandReader) end() {
-	r.last.isNext = true
-	r.last.due = time.Now().Add(lastCommandGrace)
+// endAfterCurrent makes the command that is being read, if any, the last one of the connection. Its rest may
+// already have arrived.
+func (r *commandReader) endAfterCurrent() {
+	r.last.ending = true
+	r.last.deadline = time.Now().Add(lastCommandGrace)
 }
 
 // readLast reads what may still be read on a connection that is ending: the first command if none has been
@@ -52,7 +52,7 @@
 	case r.conn.hasCommand.Load():
 		return errIdleClose
 	default:
-		return r.readArrived(errIdleClose)
+		return r.readBeforeClose(errIdleClose)
 	}
 }
 
@@ -60,19 +60,19 @@
 // inline command, which no valid client sends: its length is not known in advance, so it would have to be
 // read byte by byte.
 func (r *commandReader) readRest() error {
-	if r.last.reads++; r.buf[0] != redcon.Array || r.last.reads > maxLastReads {
+	if r.last.restReads++; r.buf[0] != redcon.Array || r.last.restReads > maxLastReads {
 		return errCommandTimeout
 	}
-	most := min(cap(r.buf), len(r.buf)+resp.MinMissingSize(r.buf))
-	n, err := r.readWith(r.conn.nc.ReadAvailable, most)
+	limit := min(cap(r.buf), len(r.buf)+resp.MinMissingSize(r.buf))
+	n, err := r.readWith(r.conn.nc.ReadAvailable, limit)
 	if n > 0 || err != nil {
 		return err
 	}
-	if !time.Now().Before(r.last.due) {
+	if !time.Now().Before(r.last.deadline) {
 		return errCommandTimeout
 	}
-	r.conn.nc.SetReadDeadline(r.last.due)
-	if _, err := r.readWith(r.conn.nc.Read, most); !errors.Is(err, os.ErrDeadlineExceeded) {
+	r.conn.nc.SetReadDeadline(r.last.deadline)
+	if _, err := r.readWith(r.conn.nc.Read, limit); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	return nil // the next call makes a last read without waiting
--- a/internal/router/last_command_test.go
+++ b/internal/router/last_command_test.go
@@ -66,7 +66,7 @@
 				l := newLastCommandTest(t, nil)
 				l.client.send(command[:part])
 				l.waitForBytes(part)
-				l.router.srv.endReading()
+				l.router.srv.stopNewCommands()
 				l.client.send(command[part:] + strings.Repeat(command, 3))
 				l.client.wantLine("-ERR failed") // the loop has not been told of a drain, and asks the engine
 				l.wantEnd(len(command))
@@ -85,7 +85,7 @@
 	l.system.inject(callRead, stalled)
 	l.client.send(strings.Repeat(command, 2*commands)) // the waiting read takes a part of it, ...
 	receive(t, stalled.begun, "read")
-	l.router.srv.endReading() // ... and returns when no more is to be read
+	l.router.srv.stopNewCommands() // ... and returns when no more is to be read
 	close(stalled.resume)
 	for range commands {
 		l.client.wantLine("-ERR failed")
@@ -118,7 +118,7 @@
 			},
 			want: "-BUSY",
 		},
-		"drain": {end: (*Server).endReading, want: "-BUSY"},
+		"drain": {end: (*Server).stopNewCommands, want: "-BUSY"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLastCommandTest(t, c.edit)
@@ -161,7 +161,7 @@
 			l.system.inject(callRead, stalled)
 			l.client.send(rubbish)
 			receive(t, stalled.begun, "read")
-			l.router.srv.endReading()
+			l.router.srv.stopNewCommands()
 			close(stalled.resume)
 			if reply := l.client.readLine(); reply != "-BUSY" && !strings.HasPrefix(reply, "-ERR Protocol error") {
 				t.Errorf("reply %q", reply)
--- a/internal/router/moved_discovery_test.go
+++ b/internal/router/moved_discovery_test.go
@@ -110,7 +110,7 @@
 	l.moveDiscovery(&cfg)
 	receive(t, moved.calls, "call at the new address")
 	begun := time.Now()
-	l.now += movedRetryTime
+	l.now += moveRetryPeriod
 	l.runDueTimers()
 	receive(t, old.ended, "end of the old call")
 	if elapsed := time.Since(begun); elapsed > 2*time.Second {
--- a/internal/router/read_ahead.go
+++ b/internal/router/read_ahead.go
@@ -14,21 +14,21 @@
 
 // readAhead holds bytes that were read before the commands in front of them could be handled.
 type readAhead struct {
-	bytes []byte
-	since policy.Time // earliest time at which the first of them may have arrived
-	until policy.Time // when the last of them was read
+	bytes     []byte
+	notBefore policy.Time // earliest time at which the first of them may have arrived
+	readUntil policy.Time // when the last of them was read
 }
 
-// readMore reads what has arrived while the reply queue is full. Left unread, the bytes would fill the receive
-// window and hide a disconnect of the client, for which attempts would still begin. It reports false if
-// bytes stay unread because no more may be read ahead.
-func (r *commandReader) readMore() bool {
+// fillReadAhead reads what has arrived while the reply queue is full. Left unread, the bytes would fill the
+// receive window and hide a disconnect of the client, for which attempts would still begin. It reports false
+// if bytes stay unread because no more may be read ahead.
+func (r *commandReader) fillReadAhead() bool {
 	memory := r.conn.srv.memory
 	if len(r.ahead.bytes) == 0 {
 		// Bytes that had arrived by the last read were returned by it.
-		r.ahead.since = max(r.arrival.readAt, r.ahead.until)
+		r.ahead.notBefore = max(r.arrival.lastReadAt, r.ahead.readUntil)
 	}
-	r.ahead.until = r.conn.srv.loop.clock()
+	r.ahead.readUntil = r.conn.srv.loop.clock()
 	for r.conn.nc.MayHaveUnread() {
 		if len(r.ahead.bytes) >= maxReadAhead || !memory.tryAcquire(readAheadStep) {
 			return false
@@ -36,7 +36,7 @@
 		step := make([]byte, readAheadStep)
 		n, err := r.conn.nc.ReadAvailable(step)
 		memory.release(int64(readAheadStep - n))
-		r.conn.aheadCharge.Add(int64(n))
+		r.conn.readAheadCharge.Add(int64(n))
 		r.ahead.bytes = append(r.ahead.bytes, step[:n]...)
 		if n == 0 || err != nil {
 			return true // hungUp detects the end of the connection, and the next read returns its error
@@ -45,24 +45,24 @@
 	return true
 }
 
-// takeAhead moves bytes that were read ahead to the free part of the buffer. It reports false if there are
+// takeReadAhead moves bytes that were read ahead to the free part of the buffer. It reports false if there are
 // none.
-func (r *commandReader) takeAhead() bool {
+func (r *commandReader) takeReadAhead() bool {
 	if len(r.ahead.bytes) == 0 {
 		return false
 	}
 	n := copy(r.buf[len(r.buf):cap(r.buf)], r.ahead.bytes)
 	r.buf = r.buf[:len(r.buf)+n]
-	r.arrival = arrivalTime{at: r.ahead.since, readAt: r.ahead.until}
+	r.arrival = arrivalTime{earliest: r.ahead.notBefore, lastReadAt: r.ahead.readUntil}
 	r.ahead.bytes = r.ahead.bytes[n:]
 	if len(r.ahead.bytes) == 0 {
-		r.dropAhead()
+		r.dropReadAhead()
 	}
 	return true
 }
 
-// dropAhead discards what was read ahead and releases its memory.
-func (r *commandReader) dropAhead() {
+// dropReadAhead discards what was read ahead and releases its memory.
+func (r *commandReader) dropReadAhead() {
 	r.ahead.bytes = nil
-	r.conn.srv.memory.release(r.conn.aheadCharge.Swap(0))
+	r.conn.srv.memory.release(r.conn.readAheadCharge.Swap(0))
 }
--- a/internal/router/read_ahead_test.go
+++ b/internal/router/read_ahead_test.go
@@ -140,7 +140,7 @@
 		router.srv.mu.Lock()
 		defer router.srv.mu.Unlock()
 		for client := range router.srv.clients {
-			return client.aheadCharge.Load() > 0
+			return client.readAheadCharge.Load() > 0
 		}
 		return false
 	})
--- a/internal/router/reply_queue_test.go
+++ b/internal/router/reply_queue_test.go
@@ -65,8 +65,8 @@
 	for c.replies.tryAdd(newReplySlot(router.srv.memory)) {
 	}
 	waitUntil(t, "the end of the client", c.hungUp)
-	if state := c.reply([]byte("+PONG\r\n")); state != connGone {
-		t.Errorf("state %d, want %d", state, connGone)
+	if state := c.reply([]byte("+PONG\r\n")); state != connDisconnected {
+		t.Errorf("state %d, want %d", state, connDisconnected)
 	}
 	if inUse := router.srv.memory.inUse.Load(); inUse != 0 {
 		t.Errorf("%d bytes are still counted", inUse)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -23,7 +23,7 @@
 // acceptRequest creates a request for a client's command, which arrived at the given time, and reports it to
 // the engine. A command that cannot be accepted is rejected without consulting the engine.
 func (l *eventLoop) acceptRequest(c *clientConn, slot *replySlot, cmd resp.Command, arrivedAt policy.Time) {
-	if c.gone {
+	if c.disconnected {
 		slot.fill(nil)
 		return
 	}
@@ -109,7 +109,7 @@
 	switch {
 	case errors.Is(err, errClientDisconnected):
 		l.clientDisconnected(a.request.client)
-	case errors.Is(err, errEndUnknown):
+	case errors.Is(err, errDisconnectUndetectable):
 		a.abandon(policy.NotSent)
 	default:
 		return false
@@ -119,7 +119,7 @@
 
 // clientDisconnected handles the disconnect of a client: it ends the client's requests.
 func (l *eventLoop) clientDisconnected(c *clientConn) {
-	c.gone = true
+	c.disconnected = true
 	for _, r := range c.requests {
 		l.finish(r, requestAbandoned, nil)
 		l.pendingEvents = append(l.pendingEvents, &policy.ClientGone{ID: r.id})
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -46,18 +46,18 @@
 	descriptors *descriptorBudget
 	memory      *memoryBudget
 
-	mu      sync.Mutex
-	clients map[*clientConn]struct{} // guarded by mu
-	wg      sync.WaitGroup           // readers and writers of client connections
-	closing chan struct{}            // closed when only connections already queued by the kernel are accepted
-	ended   chan struct{}            // closed when no more connections are accepted
+	mu            sync.Mutex
+	clients       map[*clientConn]struct{} // guarded by mu
+	wg            sync.WaitGroup           // readers and writers of client connections
+	closing       chan struct{}            // closed when only connections already queued by the kernel are accepted
+	acceptAborted chan struct{}            // closed when no more connections are accepted
 
 	// acceptStalledSince is the earliest time from which connections may have waited in the listener's
 	// queue; 0 if none may have. It is owned by the accept loop.
 	acceptStalledSince policy.Time
 
-	// readingEnded is set when connections end after the command that is being read on them.
-	readingEnded atomic.Bool
+	// noNewCommands is set when connections end after the command that is being read on them.
+	noNewCommands atomic.Bool
 
 	drainTime         time.Duration // from SIGTERM until the last replies are due
 	lateAcceptTime    time.Duration // after SIGTERM, during which clients may still open connections
@@ -87,7 +87,7 @@
 		memory:            newMemoryBudget(cfg.Limits.MemoryMB),
 		clients:           map[*clientConn]struct{}{},
 		closing:           make(chan struct{}),
-		ended:             make(chan struct{}),
+		acceptAborted:     make(chan struct{}),
 		drainTime:         drainTimeFor(loop.maxTimeout),
 		lateAcceptTime:    lateAcceptTime,
 		commandTimeout:    commandTimeout,
@@ -135,7 +135,7 @@
 func (s *Server) drain(acceptEnded <-chan error) {
 	s.loop.logger.Info("draining", "connections", s.descriptors.clientConns.Load(), "last_replies_in", s.drainTime)
 	lastReplies := time.After(s.drainTime)
-	timeout := time.After(s.drainTime + lastWriteTime)
+	drainTimeout := time.After(s.drainTime + lastWriteTime)
 	due := s.loop.clock() + s.drainTime.Microseconds()
 	s.loop.post(func() { s.loop.beginDrain(due) })
 	time.Sleep(s.lateAcceptTime)
@@ -151,12 +151,12 @@
 	case <-drained:
 		return
 	case <-lastReplies:
-		s.endReading()
+		s.stopNewCommands()
 	}
 	select {
 	case <-drained:
-	case <-timeout:
-		close(s.ended)
+	case <-drainTimeout:
+		close(s.acceptAborted)
 		s.listener.Close()
 	}
 }
@@ -170,11 +170,11 @@
 	s.wg.Wait()
 }
 
-// endReading makes the client connections close once all commands that have been read are answered.
+// stopNewCommands makes the client connections close once all commands that have been read are answered.
 // Otherwise a client that sends without a pause would keep its connection open until SIGKILL, which would
 // leave commands unanswered.
-func (s *Server) endReading() {
-	s.readingEnded.Store(true)
+func (s *Server) stopNewCommands() {
+	s.noNewCommands.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.clients {
--- a/internal/router/stall_monitor.go
+++ b/internal/router/stall_monitor.go
@@ -26,22 +26,22 @@
 // way on all systems to find out how long the request has waited for a process that was stalled or is behind.
 // The methods may be called from any goroutine.
 type stallMonitor struct {
-	reported func(duration policy.Time) // called after each stall
+	onStall func(duration policy.Time) // called after each stall
 	// sendProbe sends a probe and reports whether that succeeded. probeReturned is called once what has
 	// arrived by now is being read. Without a probe, bytes that arrived during a stall count as read after
 	// backlogTime.
 	sendProbe func() bool
 
-	mu       sync.Mutex
-	lastBeat policy.Time // latest time at which the process was known to run
-	begin    policy.Time // earliest arrival of bytes that may be unread because of the last stall or delay
-	end      policy.Time // end of that stall or delay, or of the probe that followed it
-	probedAt policy.Time // when the pending probe was sent; 0 if there is none
-	again    bool        // another stall or delay has occurred since then
+	mu                sync.Mutex
+	lastBeat          policy.Time // latest time at which the process was known to run
+	backlogStart      policy.Time // earliest arrival of bytes that may be unread because of the last stall or delay
+	backlogEnd        policy.Time // end of that stall or delay, or of the probe that followed it
+	probeSentAt       policy.Time // when the pending probe was sent; 0 if there is none
+	stalledSinceProbe bool        // another stall or delay has occurred since then
 }
 
-func newStallMonitor(now policy.Time, reported func(duration policy.Time)) *stallMonitor {
-	return &stallMonitor{reported: reported, sendProbe: func() bool { return false }, lastBeat: now}
+func newStallMonitor(now policy.Time, onStall func(duration policy.Time)) *stallMonitor {
+	return &stallMonitor{onStall: onStall, sendProbe: func() bool { return false }, lastBeat: now}
 }
 
 // useProbe sets the function that sends a probe and reports whether that succeeded.
@@ -57,7 +57,7 @@
 	duration := m.beatLocked(now)
 	m.mu.Unlock()
 	if duration > 0 {
-		m.reported(duration)
+		m.onStall(duration)
 	}
 }
 
@@ -69,7 +69,7 @@
 	if now-previous < minStall {
 		return 0
 	}
-	m.behind(previous, now)
+	m.noteBacklog(previous, now)
 	return now - previous
 }
 
@@ -77,24 +77,24 @@
 func (m *stallMonitor) noteLate(due, now policy.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.behind(due, now)
+	m.noteBacklog(due, now)
 }
 
-// behind records that bytes that arrived since the given time may be unread. The caller holds the lock.
-func (m *stallMonitor) behind(since, now policy.Time) {
+// noteBacklog records that bytes that arrived since the given time may be unread. The caller holds the lock.
+func (m *stallMonitor) noteBacklog(since, now policy.Time) {
 	switch {
-	case m.probedAt > 0:
-		m.again = true
+	case m.probeSentAt > 0:
+		m.stalledSinceProbe = true
 	case m.sendProbe():
-		m.begin, m.probedAt = since, now
-	case since >= m.end+backlogTime:
-		m.begin = since
+		m.backlogStart, m.probeSentAt = since, now
+	case since >= m.backlogEnd+backlogTime:
+		m.backlogStart = since
 	default:
 		// Bytes that arrived during the previous stall may still be unread, but no longer than maxStall
 		// before this one.
-		m.begin = max(m.begin, since-maxStall.Microseconds())
+		m.backlogStart = max(m.backlogStart, since-maxStall.Microseconds())
 	}
-	m.end = now
+	m.backlogEnd = now
 }
 
 // probeReturned records that what arrived before the probe was sent has been read. If the process was stalled
@@ -102,28 +102,28 @@
 func (m *stallMonitor) probeReturned(now policy.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	sentAt := m.probedAt
+	sentAt := m.probeSentAt
 	if sentAt == 0 {
 		return // the probe already counts as lost
 	}
-	m.end, m.probedAt = now, 0
-	if (m.again || now-sentAt >= minStall) && m.sendProbe() {
-		m.begin, m.probedAt = sentAt, now
+	m.backlogEnd, m.probeSentAt = now, 0
+	if (m.stalledSinceProbe || now-sentAt >= minStall) && m.sendProbe() {
+		m.backlogStart, m.probeSentAt = sentAt, now
 	}
-	m.again = false
+	m.stalledSinceProbe = false
 }
 
-// arrivedSince returns the earliest time at which bytes may have arrived that a waiting reader receives now.
+// earliestArrival returns the earliest time at which bytes may have arrived that a waiting reader receives now.
 // They have just arrived if the process was neither stalled nor late; otherwise they may be older.
-func (m *stallMonitor) arrivedSince(now policy.Time) policy.Time {
+func (m *stallMonitor) earliestArrival(now policy.Time) policy.Time {
 	m.beat(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.probedAt > 0 && now-m.probedAt > maxProbeTime {
-		m.probedAt, m.again = 0, false
+	if m.probeSentAt > 0 && now-m.probeSentAt > maxProbeTime {
+		m.probeSentAt, m.stalledSinceProbe = 0, false
 	}
-	if m.probedAt > 0 || now < m.end+backlogTime {
-		return min(now, m.begin)
+	if m.probeSentAt > 0 || now < m.backlogEnd+backlogTime {
+		return min(now, m.backlogStart)
 	}
 	return now
 }
--- a/internal/router/stall_monitor_test.go
+++ b/internal/router/stall_monitor_test.go
@@ -35,7 +35,7 @@
 			for _, beat := range c.beats {
 				m.beat(start + beat)
 			}
-			if got := m.arrivedSince(start+c.readAt) - start; got != c.want {
+			if got := m.earliestArrival(start+c.readAt) - start; got != c.want {
 				t.Errorf("arrived since %d, want %d", got, c.want)
 			}
 			if stalls != c.stalls {
@@ -57,11 +57,11 @@
 		"running":                 {previous, now, now},
 	} {
 		t.Run(name, func(t *testing.T) {
-			arrival := arrivalTime{readAt: c.previous}
+			arrival := arrivalTime{lastReadAt: c.previous}
 			arrival.noteRead(now, false, false)
 			arrival.noteStall(c.since)
-			if arrival.at != c.want {
-				t.Errorf("arrived at %d, want %d", arrival.at, c.want)
+			if arrival.earliest != c.want {
+				t.Errorf("arrived at %d, want %d", arrival.earliest, c.want)
 			}
 		})
 	}
--- a/internal/router/start_times.go
+++ b/internal/router/start_times.go
@@ -21,54 +21,54 @@
 // the event loop's clock. The wall clock that the loop read at its start may have been wrong, so an age
 // computed with it counts only if it is consistent with the time at which the start was first listed.
 type startTimes struct {
-	servers     map[string]startTime // by the name of the cache
-	newest      policy.Time          // latest start ever listed, by the caches' clock
-	newestAt    policy.Time          // when that start was first listed, by the loop's clock
-	lastContact policy.Time          // when the last list that was not stale arrived; 0 if there was none
-	inContact   bool                 // no call to the discovery service has failed since lastContact
-	cleanupAt   policy.Time          // time of the next removal of expired start times
+	caches         map[string]startTime // by the name of the cache
+	newestStart    policy.Time          // latest start ever listed, by the caches' clock
+	newestListedAt policy.Time          // when that start was first listed, by the loop's clock
+	lastContact    policy.Time          // when the last list that was not stale arrived; 0 if there was none
+	inContact      bool                 // no call to the discovery service has failed since lastContact
+	nextCleanup    policy.Time          // time of the next removal of expired start times
 }
 
 // startTime is the start of one incarnation of a cache, by two clocks.
 type startTime struct {
-	listed policy.Time // by the caches' clock, as in the endpoint list
-	local  policy.Time // by the event loop's clock
-	goneAt policy.Time // when a list first omitted or removed the cache; 0 while it is listed
+	listed     policy.Time // by the caches' clock, as in the endpoint list
+	local      policy.Time // by the event loop's clock
+	unlistedAt policy.Time // when a list first omitted or removed the cache; 0 while it is listed
 }
 
-func newStartTimes() *startTimes { return &startTimes{servers: map[string]startTime{}} }
+func newStartTimes() *startTimes { return &startTimes{caches: map[string]startTime{}} }
 
-// contactLost records that a call to the discovery service failed. Starts in later lists may be as old as the
-// last contact.
-func (s *startTimes) contactLost() { s.inContact = false }
+// noteContactLost records that a call to the discovery service failed. Starts in later lists may be as old as
+// the last contact.
+func (s *startTimes) noteContactLost() { s.inContact = false }
 
 // convert returns the endpoints of a list that arrived at the time now, with their start times by the loop's
 // clock. The converted start time of an incarnation does not change when later lists repeat it.
 func (s *startTimes) convert(list *discovery.EndpointList, kind policy.UpdateKind, now policy.Time) []policy.Endpoint {
 	for _, endpoint := range list.Endpoints {
-		if endpoint.StartedAt > s.newest {
-			s.newest, s.newestAt = endpoint.StartedAt, now
+		if endpoint.StartedAt > s.newestStart {
+			s.newestStart, s.newestListedAt = endpoint.StartedAt, now
 		}
 	}
 	maxAge := s.maxAge(now)
 	converted := make([]policy.Endpoint, len(list.Endpoints))
 	for i, endpoint := range list.Endpoints {
-		start, known := s.servers[endpoint.ID]
+		start, known := s.caches[endpoint.ID]
 		if !known || start.listed != endpoint.StartedAt {
 			start = startTime{listed: endpoint.StartedAt, local: s.localTime(endpoint.StartedAt, maxAge, now)}
 		}
-		start.goneAt = 0
+		start.unlistedAt = 0
 		if endpoint.State == policy.Removed {
-			start.goneAt = now
+			start.unlistedAt = now
 		}
-		s.servers[endpoint.ID] = start
+		s.caches[endpoint.ID] = start
 		endpoint.StartedAt = start.local
 		converted[i] = endpoint
 	}
 	if list.Snapshot {
 		s.noteUnlisted(list.Endpoints, now)
 	}
-	s.forgetGone(now)
+	s.removeExpired(now)
 	if kind != policy.UpdateStale {
 		s.lastContact, s.inContact = now, true
 	}
@@ -99,7 +99,7 @@
 	case listed == 0:
 		return 0 // 0 means that the cache started long ago
 	case age < 0:
-		return now - max(0, s.newest-listed+now-s.newestAt)
+		return now - max(0, s.newestStart-listed+now-s.newestListedAt)
 	case age > maxAge:
 		return now - maxListDelay
 	default:
@@ -113,23 +113,23 @@
 	for _, endpoint := range endpoints {
 		listed[endpoint.ID] = true
 	}
-	for id, start := range s.servers {
-		if !listed[id] && start.goneAt == 0 {
-			start.goneAt = now
-			s.servers[id] = start
+	for id, start := range s.caches {
+		if !listed[id] && start.unlistedAt == 0 {
+			start.unlistedAt = now
+			s.caches[id] = start
 		}
 	}
 }
 
-// forgetGone removes the start times of caches that have not been listed for startRetention.
-func (s *startTimes) forgetGone(now policy.Time) {
-	if now < s.cleanupAt {
+// removeExpired removes the start times of caches that have not been listed for startRetention.
+func (s *startTimes) removeExpired(now policy.Time) {
+	if now < s.nextCleanup {
 		return
 	}
-	s.cleanupAt = now + startCleanupInterval
-	for id, start := range s.servers {
-		if start.goneAt > 0 && start.goneAt+startRetention <= now {
-			delete(s.servers, id)
+	s.nextCleanup = now + startCleanupInterval
+	for id, start := range s.caches {
+		if start.unlistedAt > 0 && start.unlistedAt+startRetention <= now {
+			delete(s.caches, id)
 		}
 	}
 }
--- a/internal/router/wall_clock_test.go
+++ b/internal/router/wall_clock_test.go
@@ -198,7 +198,7 @@
 		starts := newStartTimes()
 		for _, arrival := range test.arrivals {
 			if arrival.afterLoss {
-				starts.contactLost()
+				starts.noteContactLost()
 			}
 			list := discovery.EndpointList{Snapshot: arrival.kind != policy.UpdateDelta}
 			for _, start := range arrival.starts {
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxUnusableReplies is the number of consecutive watches that the loop itself retries after unusable
+	// maxUnusableReplyRetries is the number of consecutive watches that the loop itself retries after unusable
 	// replies. The next watch is left to the policy.
-	maxUnusableReplies = 2
-	// movedRetryTime is the time after a move during which the loop itself retries each failed watch and
+	maxUnusableReplyRetries = 2
+	// moveRetryPeriod is the time after a move during which the loop itself retries each failed watch and
 	// keeps the watch at the replaced service open. Changes count as notified after that time.
-	movedRetryTime policy.Time = 4_000_000
+	moveRetryPeriod policy.Time = 4_000_000
 	// maxReplacedWatches is the maximum number of watches at replaced services. Each uses a descriptor.
 	maxReplacedWatches = 4
-	// failureLineInterval is the minimum time between two log lines about failed watches.
-	failureLineInterval policy.Time = 10_000_000
+	// failureLogInterval is the minimum time between two log lines about failed watches.
+	failureLogInterval policy.Time = 10_000_000
 )
 
 // startWatch opens a watch for changes of the endpoint list, unless one is open.
@@ -39,8 +39,8 @@
 
 // watch is a series of calls to one discovery service.
 type watch struct {
-	client *discovery.Client
-	moves  int // number of moves to another service before the watch began
+	client         *discovery.Client
+	discoveryMoves int // number of moves to another service before the watch began
 }
 
 // runWatch runs a watch until it fails. Unlike the other methods, it runs in its own goroutine.
@@ -53,11 +53,11 @@
 
 // listReceived applies a list, unless a newer service than the one that sent it has already sent a list.
 func (l *eventLoop) listReceived(w watch, list discovery.EndpointList) {
-	if w.moves < l.lastListMoves {
+	if w.discoveryMoves < l.lastListMoves {
 		return
 	}
-	l.lastListMoves = w.moves
-	if w.moves < l.discoveryMoves {
+	l.lastListMoves = w.discoveryMoves
+	if w.discoveryMoves < l.discoveryMoves {
 		l.applyReplacedEndpoints(list)
 		return
 	}
@@ -67,7 +67,7 @@
 
 // watchEnded handles the end of a watch. It ignores the failure of a watch at a replaced service.
 func (l *eventLoop) watchEnded(w watch, err error) {
-	if w.moves < l.discoveryMoves {
+	if w.discoveryMoves < l.discoveryMoves {
 		w.client.CloseIdleConnections()
 		return
 	}
@@ -86,12 +86,12 @@
 // policy, which opens a watch after its own backoff.
 func (l *eventLoop) watchFailed(err error) {
 	l.watching = false
-	l.startTimes.contactLost()
+	l.startTimes.noteContactLost()
 	l.logWatchFailure(err)
 	if errors.Is(err, discovery.ErrOutOfOrder) {
 		l.endpointsVersion = discovery.NoVersion // the same call would always get the same response
 	}
-	if l.retriesWatch(err) {
+	if l.shouldRetryWatch(err) {
 		l.watchRetries++
 		l.scheduleAfter(l.watchBackoff.Next(l.cfg.Settings.DrainGrace), l.startWatch)
 		return
@@ -101,31 +101,31 @@
 	l.pendingEvents = append(l.pendingEvents, &policy.EndpointsUpdate{Kind: policy.UpdateFailed})
 }
 
-// retriesWatch reports whether the loop itself retries a failed watch. It always does if the policy opens no
+// shouldRetryWatch reports whether the loop itself retries a failed watch. It always does if the policy opens no
 // watches. Otherwise a retry by the policy may take as long as the notification deadline allows, because the
 // policy's backoff protects a service that is down. The failed call may have been the first one since the
 // service has recovered, so a fault of this machine or an unusable reply must not cause another such delay.
 // After a move less time is left until the notification deadline.
-func (l *eventLoop) retriesWatch(err error) bool {
-	if !l.cfg.Settings.WatchRequired || l.discoveryMovedAt > 0 && l.now < l.discoveryMovedAt+movedRetryTime {
+func (l *eventLoop) shouldRetryWatch(err error) bool {
+	if !l.cfg.Settings.WatchRequired || l.discoveryMovedAt > 0 && l.now < l.discoveryMovedAt+moveRetryPeriod {
 		return true
 	}
 	switch discovery.ClassifyFailure(err) {
 	case discovery.LocalFault:
 		return true // the failed call put no load on the service
 	case discovery.UnusableReply:
-		return l.watchRetries < maxUnusableReplies
+		return l.watchRetries < maxUnusableReplyRetries
 	default:
 		return false
 	}
 }
 
-// logWatchFailure logs why a watch failed, at most once in failureLineInterval.
+// logWatchFailure logs why a watch failed, at most once in failureLogInterval.
 func (l *eventLoop) logWatchFailure(err error) {
 	if l.now < l.nextWatchFailureLog {
 		return
 	}
-	l.nextWatchFailureLog = l.now + failureLineInterval
+	l.nextWatchFailureLog = l.now + failureLogInterval
 	l.logger.Warn("discovery watch failed", "error", err)
 }
 
@@ -135,7 +135,7 @@
 func (l *eventLoop) moveDiscovery(cfg *config.Config) {
 	l.logger.Info("discovery moves", "to", cfg.Discovery)
 	l.retainReplacedWatch()
-	l.startTimes.contactLost()
+	l.startTimes.noteContactLost()
 	l.discovery.CloseIdleConnections()
 	l.discovery = newDiscoveryClient(cfg)
 	l.discoveryMoves++
@@ -149,7 +149,7 @@
 	l.startWatch()
 }
 
-// retainReplacedWatch keeps the open watch running for movedRetryTime, because the service may have sent a
+// retainReplacedWatch keeps the open watch running for moveRetryPeriod, because the service may have sent a
 // list that the router has not read yet. It cancels the oldest ones beyond maxReplacedWatches.
 func (l *eventLoop) retainReplacedWatch() {
 	if !l.watching {
@@ -157,5 +157,5 @@
 	}
 	l.replacedWatchCancels = append(l.replacedWatchCancels, l.cancelWatch)
 	l.cancelReplacedWatches(maxReplacedWatches)
-	l.scheduleAfter(movedRetryTime, l.cancelWatch)
+	l.scheduleAfter(moveRetryPeriod, l.cancelWatch)
 }
