--- a/internal/router/loop_delay.go
+++ b/internal/router/loop_delay.go
@@ -3,30 +3,29 @@
 import "marlstage/policy"
 
 const (
-	// minDelay is the time in microseconds by which an event is handled late from which on the event loop
-	// counts as behind.
-	minDelay policy.Time = 50_000
-	// longTurn is the time in microseconds from which on a turn of the event loop is logged.
-	longTurn policy.Time = 20_000
+	// minBehindDelay is the delay in microseconds of an event at which the event loop starts to count as behind.
+	minBehindDelay policy.Time = 50_000
+	// minLongTurn is the minimum duration in microseconds of an event loop turn that is logged.
+	minLongTurn policy.Time = 20_000
 )
 
-// postedEvent is a function that runs in the event loop, and when it was posted.
+// postedEvent is a function to be run by the event loop, with the time at which it was posted.
 type postedEvent struct {
 	run      func()
 	postedAt policy.Time
 }
 
-// loopDelay tells how late the event loop handles what it is given. It belongs to the event loop.
-type loopDelay struct {
+// delayMonitor monitors the delay with which the event loop handles events. It is owned by the event loop.
+type delayMonitor struct {
 	loop   *eventLoop
-	behind bool // the last event was handled late
+	behind bool // the last event was delayed by minDelay or more
 }
 
-// noteEvent takes an event that was due at the given time and is handled now.
-func (d *loopDelay) noteEvent(dueAt policy.Time) {
+// noteEvent records that an event is handled now that was due at the given time.
+func (d *delayMonitor) noteEvent(dueAt policy.Time) {
 	l := d.loop
 	delay := l.now - dueAt
-	behind := delay >= minDelay
+	behind := delay >= minBehindDelay
 	if behind {
 		l.statistics.delayedEvents.Add(1)
 		storeMax(&l.statistics.longestDelay, delay)
@@ -34,19 +33,19 @@
 	}
 	if behind != d.behind {
 		d.behind = behind
-		l.logger.fault("event loop delay changed", "behind", behind, "delay", microseconds(delay),
+		l.logger.logFault("event loop delay changed", "behind", behind, "delay", microseconds(delay),
 			"queued_events", len(l.events), "open_requests", l.openRequests)
 	}
 }
 
-// noteTurn takes a turn of the loop that ends at the given time.
-func (d *loopDelay) noteTurn(end policy.Time) {
+// noteTurn records that the current turn of the loop ends at the given time.
+func (d *delayMonitor) noteTurn(end policy.Time) {
 	l := d.loop
-	duration := end - l.turnBegan
+	duration := end - l.turnStartedAt
 	storeMax(&l.statistics.longestTurn, duration)
-	if duration < longTurn {
+	if duration < minLongTurn {
 		return
 	}
-	l.logger.fault("event loop turn took long", "for", microseconds(duration), "engine_events", l.turnEvents,
+	l.logger.logFault("event loop turn took long", "for", microseconds(duration), "engine_events", l.eventsInTurn,
 		"queued_events", len(l.events), "open_requests", l.openRequests)
 }
--- a/internal/router/read_ahead.go
+++ b/internal/router/read_ahead.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	maxReadAhead  = 4 * resp.MaxCommandSize // bytes of a connection that are read ahead
-	readAheadStep = 16 << 10                // bytes acquired for one read
+	// maxReadAhead is the number of bytes of one connection from which on no more are read ahead.
+	maxReadAhead = 4 * resp.MaxCommandSize
+	// readAheadStep is the number of bytes acquired from the memory budget for one read.
+	readAheadStep = 16 << 10
 )
 
-// readAhead holds bytes that were read before the commands ahead of them could be handled.
+// readAhead holds bytes that were read before the commands in front of them could be handled.
 type readAhead struct {
-	bytes []byte
-	since policy.Time // by which the first of them had not arrived yet, ...
-	until policy.Time // ... and when the last was read
+	bytes     []byte
+	notBefore policy.Time // earliest time at which the first of them may have arrived
+	readUntil policy.Time // when the last of them was read
 }
 
-// readMore reads what has arrived while the reply queue is full. Left unread it would fill the
-// receive window, and a client's end behind it would stay hidden while attempts for it begin. It reports
-// false if something is left unread, as no more may be read ahead.
-func (r *commandReader) readMore() bool {
+// fillReadAhead reads what has arrived while the reply queue is full. Left unread, the bytes would fill the
+// receive window and hide a disconnect of the client, for which attempts would still begin. It reports false
+// if bytes stay unread because no more may be read ahead.
+func (r *commandReader) fillReadAhead() bool {
 	memory := r.conn.srv.memory
 	if len(r.ahead.bytes) == 0 {
-		// What had arrived by the last look was read with that.
-		r.ahead.since = max(r.arrival.readAt, r.ahead.until)
+		// Bytes that had arrived by the last read were returned by it.
+		r.ahead.notBefore = max(r.arrival.lastReadAt, r.ahead.readUntil)
 	}
-	r.ahead.until = r.conn.srv.loop.clock()
+	r.ahead.readUntil = r.conn.srv.loop.clock()
 	for r.conn.nc.MayHaveUnread() {
 		if len(r.ahead.bytes) >= maxReadAhead || !memory.tryAcquire(readAheadStep) {
 			return false
@@ -34,33 +36,33 @@
 		step := make([]byte, readAheadStep)
 		n, err := r.conn.nc.ReadAvailable(step)
 		memory.release(int64(readAheadStep - n))
-		r.conn.aheadCharge.Add(int64(n))
+		r.conn.readAheadCharge.Add(int64(n))
 		r.ahead.bytes = append(r.ahead.bytes, step[:n]...)
 		if n == 0 || err != nil {
-			return true // hungUp shows the end of the connection, and the next read its error
+			return true // hungUp detects the end of the connection, and the next read returns its error
 		}
 	}
 	return true
 }
 
-// takeAhead moves bytes that were read ahead to the free part of the buffer and reports whether there
-// were any.
-func (r *commandReader) takeAhead() bool {
+// takeReadAhead moves bytes that were read ahead to the free part of the buffer. It reports false if there are
+// none.
+func (r *commandReader) takeReadAhead() bool {
 	if len(r.ahead.bytes) == 0 {
 		return false
 	}
 	n := copy(r.buf[len(r.buf):cap(r.buf)], r.ahead.bytes)
 	r.buf = r.buf[:len(r.buf)+n]
-	r.arrival = arrivalTime{at: r.ahead.since, readAt: r.ahead.until}
+	r.arrival = arrivalTime{earliest: r.ahead.notBefore, lastReadAt: r.ahead.readUntil}
 	r.ahead.bytes = r.ahead.bytes[n:]
 	if len(r.ahead.bytes) == 0 {
-		r.dropAhead()
+		r.dropReadAhead()
 	}
 	return true
 }
 
-// dropAhead gives up what was read ahead and releases its memory.
-func (r *commandReader) dropAhead() {
+// dropReadAhead discards what was read ahead and releases its memory.
+func (r *commandReader) dropReadAhead() {
 	r.ahead.bytes = nil
-	r.conn.srv.memory.release(r.conn.aheadCharge.Swap(0))
+	r.conn.srv.memory.release(r.conn.readAheadCharge.Swap(0))
 }
--- a/internal/router/wall_clock_test.go
+++ b/internal/router/wall_clock_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv.loop.startedUnix += offset
+	srv.loop.startedAtUnix += offset
 	recorder := &updateRecorder{srv.loop.engine, make(chan recordedUpdate, 100)}
 	srv.loop.engine = recorder
 	return startServer(t, srv), recorder
@@ -198,7 +198,7 @@
 		starts := newStartTimes()
 		for _, arrival := range test.arrivals {
 			if arrival.afterLoss {
-				starts.contactLost()
+				starts.noteContactLost()
 			}
 			list := discovery.EndpointList{Snapshot: arrival.kind != policy.UpdateDelta}
 			for _, start := range arrival.starts {
