--- a/policy/engine.go
+++ b/policy/engine.go
@@ -170,6 +170,6 @@
 // routerShare returns this router's part of a fleet-wide limit of one.
 func (e *Engine) routerShare() float64 { return 1 / float64(max(1, e.settings.Routers)) }
 
-// sparseTraffic reports whether this router sends each cache too few requests to learn much about it, as one of
-// many routers.
+// sparseTraffic reports whether this router, as one of many, sends each cache too few requests to learn much
+// about it.
 func (e *Engine) sparseTraffic() bool { return e.limitStep() < 1 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -13,9 +13,11 @@
 	unhealthyThreshold   = 2    // consecutive failed checks after which a cache is unhealthy
 	healthCheckCostShare = .01  // cost of checks per request above which rounds are skipped
 	minHealthCheckCost   = 1e-9 // lower bound of the cost of a check, so that the budget stays finite
-	maxSkippedIntervals  = 64   // upper bound of consecutive skipped rounds, for a router with almost no requests
-	maxFleetChecks       = 96   // checks of a cache by all routers in an interval; at 1.5 s they take 3% of 4 cores
-	minCheckBurst        = 200  // checks that a router may send at once, even with few requests
+	maxSkippedIntervals  = 64   // limit of consecutive skipped rounds, for a router with almost no requests
+	// maxFleetChecks is the limit of the checks of a cache by all routers in an interval. At an interval of
+	// 1.5 s they take 3% of 4 cores.
+	maxFleetChecks = 96
+	minCheckBurst  = 200 // checks that a router may send at once, even with few requests
 
 	connectFailureThreshold = 2 // consecutive connect failures that open the circuit of a cache
 	zoneFailureThreshold    = 3 // consecutive connect failures that open the circuit of a zone
@@ -42,8 +44,8 @@
 
 func (s *Settings) drainGraceOrDefault() Time { return cmp.Or(s.DrainGrace, defaultDrainGrace) }
 
-// startHealthCheckRound checks the caches that are due if the requests since the last round have earned enough
-// budget to check every cache. In a large fleet checks could otherwise cost more than they save.
+// startHealthCheckRound checks the caches that are due if the requests since the last round have earned
+// enough budget to check every cache. In a large fleet checks could otherwise cost more than they save.
 func (e *Engine) startHealthCheckRound() {
 	e.schedule(e.now+e.settings.HealthCheckInterval(), e.startHealthCheckRound)
 	e.skippedIntervals++
@@ -94,9 +96,9 @@
 }
 
 // healthCheckDue reports whether a round checks the cache. If the checks of all routers would exceed
-// maxFleetChecks, healthy caches are checked less often, by each router at a different time. A suspect cache is
-// checked in the next round, and then with a backoff while no check confirms a fault, because in overload every
-// cache is suspect.
+// maxFleetChecks, healthy caches are checked less often, by each router at a different time. A suspect cache
+// is checked in the next round, and then with a backoff while no check confirms a fault, because in overload
+// every cache is suspect.
 func (e *Engine) healthCheckDue(c *cache) bool {
 	interval := float64(e.settings.HealthCheckInterval())
 	staggeredInterval := interval * float64(e.settings.Routers) / maxFleetChecks
@@ -151,8 +153,8 @@
 	e.logf("cache health changed cache=%s healthy=%t failed_checks=%d", c.ID, healthy, c.failedChecks)
 }
 
-// eject ejects a cache that has been silent for as long as an attempt may take. A limit below one falls to the
-// minimum at once, because each halving would cost each of many routers one more attempt.
+// eject ejects a cache that has been silent for as long as an attempt may take. A limit below one falls to
+// the minimum at once, because each halving would cost each of many routers one more attempt.
 func (e *Engine) eject(c *cache) {
 	c.lastLikelyHitInTime, c.ejected = false, true
 	e.adjustCacheLimit(c, false)
@@ -169,8 +171,8 @@
 	halfOpenAt      Time // when the next trial request may be sent
 }
 
-// recordConnect records, for a cache and its zone, whether an attempt could connect. In a partition the circuit
-// of the zone opens first.
+// recordConnect records, for a cache and its zone, whether an attempt could connect. In a partition the
+// circuit of the zone opens first.
 func (e *Engine) recordConnect(c *cache, connected bool) {
 	if connected {
 		c.connectFailures, c.zone.connectFailures = 0, 0
@@ -195,8 +197,8 @@
 // zoneTrialTime returns the time of the next trial request to a zone.
 func (e *Engine) zoneTrialTime() Time { return e.now + e.settings.WarmupTime/zoneTrialDivisor }
 
-// circuitOpen reports whether a cache or its zone counts as unreachable. Without circuit breakers, an outdated
-// endpoint list would make requests use up their attempts on caches that are gone.
+// circuitOpen reports whether a cache or its zone counts as unreachable. Without circuit breakers, an
+// outdated endpoint list would make requests use up their attempts on caches that are gone.
 func (e *Engine) circuitOpen(c *cache) bool {
 	return e.breakerOpen(&c.circuitBreaker, connectFailureThreshold) ||
 		e.breakerOpen(c.zone, zoneFailureThreshold)
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -1,4 +1,4 @@
-// Limits: the concurrency limits of caches, and the shares of keys that are admitted or sent to a loaded cache.
+// Limits: concurrency limits of caches, and the shares of keys that are admitted or sent to a loaded cache.
 
 package policy
 
@@ -10,17 +10,17 @@
 	limitDecrease       = .5  // steps by which one overdue attempt lowers a limit
 	toleratedLateShare  = .2  // share of overdue attempts at which a limit stays constant
 	sharedOutcomeWeight = .3  // total weight of an outcome at all other caches, for each router
-	maxTimeTokenShare   = .25 // share of the latency threshold that time tokens can reach: about one short attempt
+	maxTimeTokenShare   = .25 // maximum of time tokens, in latency thresholds: about one short attempt
 	hitLatencyFactor    = 2   // multiple of a cache's quicker hits after which an attempt there is overdue
 	maxThresholdShare   = .9  // share of the latency objective that the threshold of a cache can reach
 	hitLatencyQuantile  = .25 // quantile of the latency of hits that stands for the quicker ones
 	connectionCostUnit  = 100 // connections per cache that ConnectionCost is the cost of
 
 	admissionStep           = .1  // part by which one late attempt lowers the share of admitted keys
-	admissionRecoveryGraces = 4   // drain graces in which the share of admitted keys grows e-fold without attempts
+	admissionRecoveryGraces = 4   // drain graces in which admissionRatio grows e-fold without attempts
 	minAdmissionRatio       = .2  // least share of admitted keys
 	overloadThreshold       = 1.5 // listed requests per core above which a cache is sent fewer keys
-	loadDropRatio           = .8  // a load below this part of the last one listed does not lower the share of keys
+	loadDropRatio           = .8  // a load below this part of the previous one does not lower the share of keys
 	minAcceptedKeyShare     = .02 // least share of its keys that a cache is sent
 )
 
@@ -72,9 +72,9 @@
 	e.adjustLimit(&c.concurrencyLimit, success, toleratedLateShare)
 }
 
-// adjustAllLimits applies a part of the outcome of an attempt to the limits of all caches, because detecting a
-// surge at each cache separately takes too long. It lowers no limit below one attempt of all routers together,
-// or below the initial limit in sparse traffic.
+// adjustAllLimits applies a part of the outcome of an attempt to the limits of all caches, because detecting
+// a surge at each cache separately takes too long. It lowers no limit below one attempt of all routers
+// together, or below the initial limit in sparse traffic.
 func (e *Engine) adjustAllLimits(success bool) {
 	weight := sharedOutcomeWeight * float64(e.settings.Routers)
 	share := weight / (weight + float64(len(e.inService)))
@@ -105,8 +105,8 @@
 }
 
 // shouldCloseIdle reports whether an idle connection to the cache costs more than the handshake that it saves
-// for the next attempt. If all caches get equal shares of the attempts, the connection costs Routers/100 times
-// ConnectionCost, and the handshake HandshakeCost.
+// for the next attempt. If all caches get equal shares of the attempts, the connection costs Routers/100
+// times ConnectionCost, and the handshake costs HandshakeCost.
 func (e *Engine) shouldCloseIdle(c *cache) bool {
 	reuse := float64(c.attemptsSent-1) / float64(e.attemptsSent) * float64(len(e.inService))
 	idleCost := e.settings.ConnectionCost * float64(e.settings.Routers)
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -3,10 +3,14 @@
 package policy
 
 const (
-	minOriginLimit           = 1   // least limit on likely misses in flight
-	toleratedOriginLateShare = .15 // share of overdue likely misses at which the limit is constant; recovery is slow
-	missObjectiveShare       = .65 // share of the latency objective from which a likely miss is the origin's fault
-	missRatioWindow          = 64  // likely misses that the moving average of the share of actual misses spans
+	minOriginLimit = 1 // least limit on likely misses in flight
+	// toleratedOriginLateShare is the share of overdue likely misses at which the limit stays constant. The
+	// value allows for the slow recovery of the origin.
+	toleratedOriginLateShare = .15
+	// missObjectiveShare is the share of the latency objective after which a likely miss counts against the
+	// origin.
+	missObjectiveShare = .65
+	missRatioWindow    = 64 // likely misses that the moving average of the share of actual misses spans
 )
 
 // likelyMissAt reports whether the origin likely has to serve a read that is sent to the cache.
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -11,7 +11,7 @@
 	hotKeyDeviations = 2  // standard deviations that are deducted from a key's count in sparse traffic
 )
 
-// replicaCount returns the number of caches that a key's requests are spread over: one, unless the key is hot.
+// replicaCount returns how many caches a key's requests are spread over: one, unless the key is hot.
 func (e *Engine) replicaCount(key uint64) int {
 	total := e.keyCounts.Total(key)
 	if total < minHotKeyCount {
@@ -129,8 +129,8 @@
 	return e.canSend(req, c) && !req.alreadyTried(c) && e.slowStartAllows(req, c)
 }
 
-// alreadyTried reports whether the next attempt should go to another cache. After a single reset connection the
-// same cache is tried again: the reset says little about the cache, and the key would miss at any other.
+// alreadyTried reports whether the next attempt should go to another cache. After a single reset connection
+// the same cache is tried again: the reset says little about the cache, and the key would miss at any other.
 func (r *request) alreadyTried(c *cache) bool {
 	attempts := 0
 	for _, a := range r.attempts {
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -18,12 +18,12 @@
 	unitRounding = 1e-12 // upper bound of the relative rounding error of a cutoff
 )
 
-// score returns the score of a cache for a key. The lowest score ranks first. unit is the hash of the cache and
-// the key, in [0, 1).
+// score returns the score of a cache for a key. The lowest score ranks first. unit is the hash of the cache
+// and the key, in [0, 1).
 func (c *cache) score(unit float64) float64 { return -math.Log(unit+minUnit) / c.Weight }
 
-// cutoff returns a hash in [0, 1) below which no cache scores less than the limit, if its weight is not larger
-// than the given one.
+// cutoff returns a hash in [0, 1) such that no cache with a lower hash and at most the given weight scores
+// less than the limit.
 func cutoff(limit, weight float64) float64 {
 	return math.Exp(-limit*weight)*(1-unitRounding) - minUnit
 }
@@ -48,8 +48,9 @@
 	return slices.Clone(ranking.Elements())
 }
 
-// rankedFor returns the caches of the first ranks for a request, at least as many as asked for if there are as
-// many. The result is cached in the request until the caches in service or their weights change.
+// rankedFor returns the caches of the first ranks for a request: at least count caches, or all caches in
+// service if they are fewer. The result is cached in the request until the caches in service or their weights
+// change.
 func (e *Engine) rankedFor(req *request, count int) []*cache {
 	count = min(count, len(e.inService))
 	if req.rankedVersion != e.rankingVersion || len(req.ranked) < count {
@@ -88,7 +89,8 @@
 	return slices.Insert(found, rank, s.lowestUnreachable.Elements()[0])
 }
 
-// searchableCaches returns how many caches, from the start of a group, the slow start may allow for a request.
+// searchableCaches returns how many caches, from the start of a group, the slow start may allow for a
+// request.
 func (e *Engine) searchableCaches(req *request, group *cacheGroup) int {
 	if !group.warmingUp {
 		return len(group.caches)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -60,8 +60,8 @@
 	e.dispatch(req)
 }
 
-// dispatch sends a request to a cache, or queues it if only capacity is lacking. If neither is possible and no
-// attempt is pending, it gives the final answer.
+// dispatch sends a request to a cache, or queues it if only capacity is lacking. If neither is possible and
+// no attempt is pending, it gives the final answer.
 func (e *Engine) dispatch(req *request) {
 	if e.countsAsRetry(req) && e.retryBudget < 1 {
 		e.answerUnlessPending(req) // retries would add to the overload that caused them
@@ -122,9 +122,9 @@
 	}
 }
 
-// dispatchQueued sends queued requests when there may be capacity again. It starts with the latest, because in
-// the order of arrival all would be late. It stops after maxDispatchTries requests found no capacity, because
-// the queue may hold thousands.
+// dispatchQueued sends queued requests when there may be capacity again. It starts with the latest, because
+// in the order of arrival all would be late. It stops after maxDispatchTries requests found no capacity,
+// because the queue may hold thousands.
 func (e *Engine) dispatchQueued() {
 	failed := 0
 	for i := len(e.queue) - 1; i >= 0 && failed < maxDispatchTries; i-- {
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -13,8 +13,8 @@
 	dedupMargin Time = 150_000
 )
 
-// canSend reports whether a request may be sent to the cache, for the first time or again. It is the only such
-// check, so that every attempt passes it.
+// canSend reports whether a request may be sent to the cache, for the first time or again. It is the only
+// such check, so that every attempt passes it.
 func (e *Engine) canSend(req *request, c *cache) bool {
 	if c.State != InService {
 		return false // a draining cache gets no further requests
@@ -71,8 +71,8 @@
 	return s == ScopeAll || s == ScopeZone && a.Zone == b.Zone || s == ScopeGroup && a.Group == b.Group
 }
 
-// canReject reports whether a request may be rejected. A rejection promises that a retry is harmless. It is the
-// only such check, so that every rejection passes it.
+// canReject reports whether a request may be rejected. A rejection promises that a retry is harmless.
+// canReject is the only such check, so that every rejection passes it.
 func (e *Engine) canReject(req *request) bool {
 	class := req.class
 	if class.Effect == Idempotent || class.Effect == IdempotentWithKey && class.DedupScope == ScopeAll {
@@ -92,8 +92,8 @@
 func (e *Engine) retryBurstLimit() float64 { return maxFleetRetryBurst * e.routerShare() }
 
 // hedge sends a hedged request for an overdue attempt if its cache has sent no reply since the attempt began.
-// Such a cache may hang, and health checks need two rounds to detect that. An overloaded cache is late, but not
-// silent.
+// Such a cache may hang, and health checks need two rounds to detect that. An overloaded cache is late, but
+// not silent.
 func (e *Engine) hedge(req *request, n int) {
 	silent := req.attempts[n].cache.lastReplyAt <= req.attempts[n].sentAt
 	if req.done || !silent || !e.settings.HedgingAllowed || e.retryBudget < 1 {
