--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -74,7 +74,8 @@
 // the count.
 func (e *Engine) searchRanking(req *request, ranked []*cache, count int) []*cache {
 	s := &rankingSearch{
-		engine: e, request: req, ranked: ranked, considered: &e.lowestScores, lowestUnreachable: &e.lowestUnreachable,
+		engine: e, request: req, ranked: ranked,
+		considered: &e.lowestScores, lowestUnreachable: &e.lowestUnreachable,
 	}
 	s.considered.Reset(count)
 	s.lowestUnreachable.Reset(1)
@@ -85,7 +86,9 @@
 	if len(s.lowestUnreachable.Elements()) == 0 || s.lowestUnreachable.Score(0) >= s.considered.Limit() {
 		return found
 	}
-	rank := sort.Search(len(found), func(i int) bool { return s.considered.Score(i) > s.lowestUnreachable.Score(0) })
+	rank := sort.Search(len(found), func(i int) bool {
+		return s.considered.Score(i) > s.lowestUnreachable.Score(0)
+	})
 	return slices.Insert(found, rank, s.lowestUnreachable.Elements()[0])
 }
 
