--- a/policy/requests.go
+++ b/policy/requests.go
@@ -22,7 +22,7 @@
 	queued        bool // it waits for capacity
 	originLimited bool // the capacity that it lacked was that of the origin
 	streaming     bool // the response has begun to reach the client
-	spilledOver   bool // caches of higher ranks lacked capacity when one was selected
+	spilledOver   bool // a cache considered before the selected one lacked capacity, its own or the origin's
 
 	ranked        []*cache // the caches of the first ranks for its key, as of rankedVersion
 	rankedVersion int
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -46,7 +46,7 @@
 	LiveWeights   bool // Endpoint.Weight is lowered by the current load
 
 	MaxAttempts         int
-	HedgingAllowed      bool    // a request may have several pending attempts
+	HedgingAllowed      bool    // a request may have up to MaxAttempts pending attempts, not only one
 	CancelAllowed       bool    // Cancel may be used
 	HealthChecksAllowed bool    // HealthCheck may be used
 	MaxRetryAfter       Time    // longest RetryAfter that clients honour; 0 if it is not passed on to them
