--- a/internal/router/dispatch.go
+++ b/internal/router/dispatch.go
@@ -79,10 +79,10 @@
 	return now < a.deadline && inStartWindow && !requestDone
 }
 
-// checkClient returns errClientGone if the client of a request has disconnected. It checks the socket, because
-// the event that reports the disconnect may still be queued, and the client may have closed its connection
-// before its request was read. Any other error means that the check failed. It returns nil for a health check,
-// whose request is nil.
+// checkClient returns errClientDisconnected if the client of a request has disconnected. It checks the socket,
+// because the event that reports the disconnect may still be queued, and the client may have closed its
+// connection before its request was read. Any other error means that the check failed. It returns nil for a
+// health check, whose request is nil.
 func (r *request) checkClient() error {
 	if r == nil || r.done {
 		return nil
--- a/internal/router/event_loop.go
+++ b/internal/router/event_loop.go
@@ -71,8 +71,8 @@
 	nextWatchFailureLog policy.Time        // time before which failed watches are not logged
 	cancelWatch         context.CancelFunc // cancels the open watch
 
-	discoveryMoves       int                  // number of moves to another discovery service so far
-	lastListMoves        int                  // value of moves when the watch began that delivered the last list
+	discoveryMoves       int                  // number of moves to another discovery service
+	lastListMoves        int                  // discoveryMoves at the start of the watch that sent the last list
 	replacedWatchCancels []context.CancelFunc // cancel the watches of replaced services that still run, oldest first
 }
 
@@ -186,8 +186,8 @@
 	}
 }
 
-// waitForEvent waits for an event, a request or the alarm, and runs the event or request. It returns false if
-// ctx is done.
+// waitForEvent waits for an event, a request or the timer that wakes the loop, and runs the event or request. It
+// returns false if ctx is done.
 func (l *eventLoop) waitForEvent(ctx context.Context, wakeTimer *time.Timer) bool {
 	select {
 	case <-ctx.Done():
@@ -212,7 +212,7 @@
 }
 
 // beginTurn sets the current time for the next event and starts a turn. Each turn counts as a heartbeat for
-// the stall monitor. While the loop is idle the alarm starts a turn for each heartbeat, so heartbeats cost a
+// the stall monitor. While the loop is idle, its timer starts a turn for each heartbeat, so heartbeats cost a
 // busy router nothing extra.
 func (l *eventLoop) beginTurn() {
 	l.now = l.clock()
--- a/internal/router/log_queue.go
+++ b/internal/router/log_queue.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	logQueueSize    = 256                   // lines that are queued for the log writer before further lines are dropped
-	logFlushTimeout = 50 * time.Millisecond // maximum time to wait for the last lines to be written when the router ends
+	logQueueSize    = 256                   // lines queued for the log writer before further lines are dropped
+	logFlushTimeout = 50 * time.Millisecond // maximum wait for the last lines to be written when the router ends
 
 	// Rate limit of lines about faults of single requests and connections: one fault may cause thousands.
 	faultLinesPerSecond = 10
@@ -65,7 +65,7 @@
 	queue        *logQueue
 	level        *slog.LevelVar
 	faultLimiter *rate.Limiter // limits the lines about faults
-	suppressed   atomic.Int64  // number of lines suppressed by faultLines
+	suppressed   atomic.Int64  // number of lines suppressed by faultLimiter
 	written      chan struct{} // closed when the last line has been written
 }
 
@@ -90,8 +90,8 @@
 	l.Warn(message, attributes...)
 }
 
-// debugEnabled reports whether lines at debug level are logged. Callers on the path of each request check it before
-// they compute the attributes of a line.
+// debugEnabled reports whether lines at debug level are logged. Callers on the path of each request check it
+// before they compute the attributes of a line.
 func (l *eventLogger) debugEnabled() bool { return l.Enabled(context.Background(), slog.LevelDebug) }
 
 // run writes the queued lines until done is closed.
@@ -100,7 +100,7 @@
 	l.queue.writeUntil(done)
 }
 
-// awaitWritten waits until the last lines are written, for at most logFlushTime.
+// awaitWritten waits until the last lines are written, for at most logFlushTimeout.
 func (l *eventLogger) awaitWritten() {
 	select {
 	case <-l.written:
--- a/internal/router/loop_delay.go
+++ b/internal/router/loop_delay.go
@@ -18,7 +18,7 @@
 // delayMonitor monitors the delay with which the event loop handles events. It is owned by the event loop.
 type delayMonitor struct {
 	loop   *eventLoop
-	behind bool // the last event was delayed by minDelay or more
+	behind bool // the last event was delayed by minBehindDelay or more
 }
 
 // noteEvent records that an event is handled now that was due at the given time.
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -10,7 +10,7 @@
 	// maxConnsPerCache is the maximum number of connections that all routers together hold to one cache. A cache
 	// accepts 90, and slows down when its connection table is full.
 	maxConnsPerCache = 72
-	// minConnsPerRouter is the lower limit of one router's share of maxFleetConns.
+	// minConnsPerRouter is the lower limit of one router's share of maxConnsPerCache.
 	minConnsPerRouter = 2
 	// maxIdleKeepaliveQuarters is how long a connection may be idle, in quarters of the cache's keepalive time.
 	maxIdleKeepaliveQuarters = 3
@@ -63,8 +63,8 @@
 	}
 }
 
-// changeAddress sets a new address of the cache. It closes the connections that are idle or being dialed, so that the
-// queued attempts go to the new address.
+// changeAddress sets a new address of the cache. It closes the connections that are idle or being dialed, so that
+// the queued attempts go to the new address.
 func (p *pool) changeAddress(addr string) {
 	p.addr = addr
 	p.closeIdle(p.loop.now)
@@ -77,8 +77,8 @@
 	p.loop.schedule(p.loop.now, p.dispatch)
 }
 
-// startIncarnation sets the start time of a new incarnation of the cache and closes the idle connections to the previous
-// one.
+// startIncarnation sets the start time of a new incarnation of the cache and closes the idle connections to the
+// previous one.
 func (p *pool) startIncarnation(startedAt policy.Time) {
 	p.startedAt = startedAt
 	p.secondReplies = secondReplies{}
--- a/internal/router/second_replies.go
+++ b/internal/router/second_replies.go
@@ -21,30 +21,30 @@
 // idle connections show how long the settle time has to be to prevent this.
 type secondReplies struct {
 	longestLateness policy.Time // longest time between a reply and the second one; 0 if there was none recently
-	expiresAt       policy.Time // when longest expires
+	expiresAt       policy.Time // when longestLateness expires
 }
 
 // note records a second reply that arrived the given time after the first.
-func (l *secondReplies) note(now, lateness policy.Time) {
+func (s *secondReplies) note(now, lateness policy.Time) {
 	if lateness > maxSecondReplyLateness {
 		return
 	}
-	l.longestLateness = max(l.current(now), lateness)
-	l.expiresAt = now + secondReplyRetention
+	s.longestLateness = max(s.current(now), lateness)
+	s.expiresAt = now + secondReplyRetention
 }
 
 // current returns the longest recorded lateness, or 0 if it has expired.
-func (l *secondReplies) current(now policy.Time) policy.Time {
-	if now >= l.expiresAt {
+func (s *secondReplies) current(now policy.Time) policy.Time {
+	if now >= s.expiresAt {
 		return 0
 	}
-	return l.longestLateness
+	return s.longestLateness
 }
 
 // settleTime returns the settle time of the cache's connections. usual is the settle time without second
 // replies.
-func (l *secondReplies) settleTime(now, usual policy.Time) policy.Time {
-	return max(usual, min(settleTimePerLateness*l.current(now), maxSettleTime))
+func (s *secondReplies) settleTime(now, usual policy.Time) policy.Time {
+	return max(usual, min(settleTimePerLateness*s.current(now), maxSettleTime))
 }
 
 // settleTime returns the minimum time between a reply on a connection and the next request on it.
@@ -58,7 +58,7 @@
 }
 
 // noteUnsolicited counts and logs bytes from the cache that are not part of the reply to an outstanding request.
-// If the connection was idle when they arrived (atRest), they are recorded as a second reply to its last request.
+// If the connection was idle when they arrived, they are recorded as a second reply to its last request.
 func (c *upstreamConn) noteUnsolicited(idle bool) {
 	loop := c.pool.loop
 	lateness := loop.now - c.idleSince
--- a/internal/router/statistics.go
+++ b/internal/router/statistics.go
@@ -31,7 +31,7 @@
 	stalls        atomic.Int64 // times that the process was stalled
 	longestStall  atomic.Int64 // in microseconds
 
-	delayedEvents atomic.Int64 // events that the event loop handled with a delay of minDelay or more
+	delayedEvents atomic.Int64 // events that the event loop handled with a delay of minBehindDelay or more
 	longestDelay  atomic.Int64 // longest such delay in microseconds
 	longestTurn   atomic.Int64 // longest turn of the event loop in microseconds
 }
@@ -129,8 +129,8 @@
 	)
 }
 
-// nonZeroCounts returns a group of the counters that are not zero. name returns the name of the counter with the given
-// index.
+// nonZeroCounts returns a group of the counters that are not zero. name returns the name of the counter with the
+// given index.
 func nonZeroCounts(counts []atomic.Int64, name func(int) string) slog.Value {
 	var group []slog.Attr
 	for i := range counts {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -46,8 +46,8 @@
 // scheduleAfter schedules f to be run by the loop after the given delay.
 func (l *eventLoop) scheduleAfter(delay policy.Time, f func()) { l.schedule(l.now+delay, f) }
 
-// resetWakeTimer sets the alarm to the next timer that is due, or to the next heartbeat if that comes first. now is
-// the current time.
+// resetWakeTimer sets the timer that wakes the loop to when the next of the loop's timers is due, or the next
+// heartbeat if that comes first. now is the current time.
 func (l *eventLoop) resetWakeTimer(wakeTimer *time.Timer, now policy.Time) {
 	wait := heartbeatInterval
 	if len(l.timers) > 0 {
--- a/internal/router/upstream_conn.go
+++ b/internal/router/upstream_conn.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// replyReceived handles a reply. sequence is the number of attempts that had been completely written when the
-// first bytes of the reply arrived. inStep is false if more bytes arrived together with the end of the reply.
+// replyReceived handles a reply. attemptsWritten is the number of attempts that had been completely written when
+// the first bytes of the reply arrived. inSync is false if more bytes arrived together with the end of the reply.
 func (c *upstreamConn) replyReceived(reply *resp.Reply, attemptsWritten uint32, inSync bool) {
 	if c.closed {
 		return
--- a/internal/router/upstream_socket.go
+++ b/internal/router/upstream_socket.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// checkNothingReceived returns errOutOfStep if bytes or the end of the connection have arrived since the last reply. Any
-// other error means that the check failed.
+// checkNothingReceived returns errUnexpectedInput if bytes or the end of the connection have arrived since the
+// last reply. Any other error means that the check failed.
 func (c *upstreamConn) checkNothingReceived() error {
 	if c.replyStarted.Load() {
 		return errUnexpectedInput
--- a/internal/router/upstream_write.go
+++ b/internal/router/upstream_write.go
@@ -11,7 +11,7 @@
 	// defaultMaxWriteTime is the maximum time in microseconds from when the timeout in a command is computed to
 	// its last write. The cache counts that timeout from when it has received the command's last byte.
 	defaultMaxWriteTime = 100_000
-	// minWriteRetryDelay and maxWriteDelay are the shortest and longest delay in microseconds before a write is
+	// minWriteRetryDelay and maxWriteRetryDelay are the shortest and longest delay in microseconds before a write is
 	// retried on a socket that has accepted nothing. The delay doubles with each retry.
 	minWriteRetryDelay = 1_000
 	maxWriteRetryDelay = 16_000
@@ -115,8 +115,8 @@
 	}
 }
 
-// failAttempt closes the connection and ends the attempt that it carries. If the command was not completely written,
-// the result is ConnectFailed, because a cache does not execute an incomplete command.
+// failAttempt closes the connection and ends the attempt that it carries. If the command was not completely
+// written, the result is ConnectFailed, because a cache does not execute an incomplete command.
 func (c *upstreamConn) failAttempt(a *attempt) {
 	result := policy.ConnectionLost
 	if a.state == attemptWriting {
