--- a/internal/router/client_conn.go
+++ b/internal/router/client_conn.go
@@ -75,8 +75,8 @@
 	return c
 }
 
-// earliestUnreadArrival returns the earliest time at which the unread bytes of a new connection may have arrived.
-// If the system reports when the last bytes arrived, the result is no earlier than that.
+// earliestUnreadArrival returns the earliest time at which the unread bytes of a new connection may have
+// arrived. If the system reports when the last bytes arrived, the result is no earlier than that.
 func (c *clientConn) earliestUnreadArrival(queuedSince, now policy.Time) policy.Time {
 	since := c.srv.loop.stalls.earliestArrival(now)
 	if queuedSince != 0 {
--- a/internal/router/server.go
+++ b/internal/router/server.go
@@ -49,7 +49,7 @@
 	mu            sync.Mutex
 	clients       map[*clientConn]struct{} // guarded by mu
 	wg            sync.WaitGroup           // readers and writers of client connections
-	closing       chan struct{}            // closed when only connections already queued by the kernel are accepted
+	closing       chan struct{}            // closed when only already queued connections are accepted
 	acceptAborted chan struct{}            // closed when no more connections are accepted
 
 	// acceptStalledSince is the earliest time from which connections may have waited in the listener's
--- a/internal/router/stall_monitor.go
+++ b/internal/router/stall_monitor.go
@@ -34,7 +34,7 @@
 
 	mu                sync.Mutex
 	lastBeat          policy.Time // latest time at which the process was known to run
-	backlogStart      policy.Time // earliest arrival of bytes that may be unread because of the last stall or delay
+	backlogStart      policy.Time // earliest arrival of bytes left unread by the last stall or delay
 	backlogEnd        policy.Time // end of that stall or delay, or of the probe that followed it
 	probeSentAt       policy.Time // when the pending probe was sent; 0 if there is none
 	stalledSinceProbe bool        // another stall or delay has occurred since then
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -101,11 +101,11 @@
 	l.pendingEvents = append(l.pendingEvents, &policy.EndpointsUpdate{Kind: policy.UpdateFailed})
 }
 
-// shouldRetryWatch reports whether the loop itself retries a failed watch. It always does if the policy opens no
-// watches. Otherwise a retry by the policy may take as long as the notification deadline allows, because the
-// policy's backoff protects a service that is down. The failed call may have been the first one since the
+// shouldRetryWatch reports whether the loop itself retries a failed watch. It always does if the policy opens
+// no watches. Otherwise a retry by the policy may take as long as policy.NotificationTimeout allows, because
+// the policy's backoff protects a service that is down. The failed call may have been the first one since the
 // service has recovered, so a fault of this machine or an unusable reply must not cause another such delay.
-// After a move less time is left until the notification deadline.
+// After a move, less of that time is left.
 func (l *eventLoop) shouldRetryWatch(err error) bool {
 	if !l.cfg.Settings.WatchRequired || l.discoveryMovedAt > 0 && l.now < l.discoveryMovedAt+moveRetryPeriod {
 		return true
