--- a/internal/soaktest/cache_test.go
+++ b/internal/soaktest/cache_test.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	maxIdleFaultDelay  = 60 * time.Millisecond // from a reply to what a cache does with the idle connection
-	endlessPieces      = 400                   // of a reply that does not end while any client waits for it
-	maxServiceTime     = 15 * time.Millisecond // of a request that is served at once
-	maxHang            = 4 * time.Second       // of a request that hangs
-	secondReplyTime    = 6 * time.Millisecond  // between a reply and another one to the same request
-	maxSecondReplyTime = 9 * time.Millisecond  // beyond which, on a busy machine, the other one is left out
-	largeValueSuffix   = "00"                  // of the ids of requests whose values are large
-	largeValueSize     = 50_000
-	pieceInterval      = 2 * time.Millisecond // between the pieces of a reply
+	maxIdleFaultDelay   = 60 * time.Millisecond // from a reply to what a cache does with the idle connection
+	endlessReplyPieces  = 400                   // of a reply that does not end while any client waits for it
+	maxServiceTime      = 15 * time.Millisecond // of a request that is served at once
+	maxHang             = 4 * time.Second       // of a request that hangs
+	secondReplyDelay    = 6 * time.Millisecond  // between a reply and another one to the same request
+	maxSecondReplyDelay = 9 * time.Millisecond  // beyond which, on a busy machine, the other one is left out
+	largeValueSuffix    = "00"                  // of the ids of requests whose values are large
+	largeValueSize      = 50_000
+	pieceInterval       = 2 * time.Millisecond // between the pieces of a reply
 )
 
 // cacheFault is what a cache does with a request instead of serving it at once.
@@ -37,21 +37,21 @@
 	faultReset
 	faultError
 	faultBusy
-	faultPieces
+	faultFragments
 	faultSecondReply
-	faultEndless    // a reply goes on and on
-	faultCloseIdle  // the connection ends some time after the reply, ...
-	faultResetIdle  // ... by a reset
-	faultSpeakIdle  // a line that nobody asked for comes some time after the reply
-	faultForgetIdle // the next request on the connection meets silence
-	cacheFaults     // the number of faults
+	faultEndlessReply    // a reply goes on and on
+	faultCloseIdle       // the connection ends some time after the reply, ...
+	faultResetIdle       // ... by a reset
+	faultUnsolicitedLine // a line that nobody asked for comes some time after the reply
+	faultIgnoreNext      // the next request on the connection meets silence
+	cacheFaultCount      // the number of faults
 )
 
 // cache is a cache server. It replies to each request with a value that names the request.
 type cache struct {
-	name  string
-	judge *judge
-	plan  *plan
+	name    string
+	checker *checker
+	plan    *plan
 	// handle replies to a request instead, if it is not nil, and reports whether the connection goes on.
 	handle func(nc *net.TCPConn, id string) bool
 	hung   atomic.Bool // it replies to nothing more
@@ -63,13 +63,13 @@
 	since    time.Time // when it was restarted; zero for long ago
 }
 
-func startCache(t *testing.T, name string, j *judge, p *plan, part uint64) *cache {
+func startCache(t *testing.T, name string, ck *checker, p *plan, part uint64) *cache {
 	t.Helper()
-	c := &cache{name: name, judge: j, plan: p, rng: newRand(p.seed, part), conns: map[*net.TCPConn]struct{}{}}
+	c := &cache{name: name, checker: ck, plan: p, rng: newRand(p.seed, part), conns: map[*net.TCPConn]struct{}{}}
 	if err := c.listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.vanish)
+	t.Cleanup(c.kill)
 	return c
 }
 
@@ -101,8 +101,8 @@
 	return endpoint{name: c.name, address: c.listener.Addr().String(), state: stateInService, since: c.since}
 }
 
-// vanish ends the cache's listener and resets its connections, as the end of its process does.
-func (c *cache) vanish() {
+// kill ends the cache's listener and resets its connections, as the end of its process does.
+func (c *cache) kill() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_ = c.listener.Close() // it may have vanished before
@@ -114,7 +114,7 @@
 
 // restart ends the cache and starts it at an address, after some time.
 func (c *cache) restart(addr string, downTime time.Duration) error {
-	c.vanish()
+	c.kill()
 	time.Sleep(downTime)
 	c.mu.Lock()
 	c.since = time.Now()
@@ -134,11 +134,11 @@
 	_ = nc.Close() // it may have been reset
 }
 
-func (c *cache) draw() (fault cacheFault, faulty bool, service time.Duration) {
+func (c *cache) nextFault() (fault cacheFault, faulty bool, service time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	service = randomDuration(c.rng, c.plan.minServiceTime, c.plan.maxServiceTime)
-	return cacheFault(c.rng.IntN(int(cacheFaults))), c.rng.Float64() < c.plan.faultShare, service
+	return cacheFault(c.rng.IntN(int(cacheFaultCount))), c.rng.Float64() < c.plan.faultShare, service
 }
 
 // serve replies to the commands of a connection until it ends.
@@ -161,14 +161,14 @@
 			continue
 		}
 		id := string(cmd.Args[resp.IDArgument])
-		fault, faulty, service := c.draw()
+		fault, faulty, service := c.nextFault()
 		if c.handle != nil {
 			if !c.handle(nc, id) {
 				return
 			}
 			continue
 		}
-		c.judge.attemptArrived(attempt{
+		c.checker.recordAttempt(attempt{
 			id:       id,
 			cache:    c.name,
 			timeout:  faulttest.ToldTimeout(string(cmd.Args[resp.OptionsArgument])),
@@ -187,7 +187,7 @@
 
 // reply replies to a request and reports whether the connection goes on.
 func (c *cache) reply(nc *net.TCPConn, id string, fault cacheFault, faulty bool) bool {
-	wire := servedWire(id)
+	wire := servedReply(id)
 	if !faulty {
 		_, err := io.WriteString(nc, wire)
 		return err == nil
@@ -203,7 +203,7 @@
 		wire = "-ERR failed\r\n"
 	case faultBusy:
 		wire = "-BUSY\r\n"
-	case faultPieces:
+	case faultFragments:
 		for _, cut := range []int{len(wire) / 3, len(wire) / 2} {
 			if _, err := io.WriteString(nc, wire[:cut]); err != nil {
 				return false
@@ -211,17 +211,17 @@
 			wire = wire[cut:]
 			time.Sleep(pieceInterval)
 		}
-	case faultEndless:
+	case faultEndlessReply:
 		return replyEndlessly(nc)
-	case faultCloseIdle, faultResetIdle, faultSpeakIdle, faultForgetIdle:
+	case faultCloseIdle, faultResetIdle, faultUnsolicitedLine, faultIgnoreNext:
 		return c.replyThenFail(nc, wire, fault)
 	case faultSecondReply:
 		begun := time.Now()
 		if _, err := io.WriteString(nc, wire); err != nil {
 			return false
 		}
-		time.Sleep(secondReplyTime)
-		if time.Since(begun) > maxSecondReplyTime {
+		time.Sleep(secondReplyDelay)
+		if time.Since(begun) > maxSecondReplyDelay {
 			return true
 		}
 	}
@@ -234,7 +234,7 @@
 	if _, err := io.WriteString(nc, "*3\r\n$60000\r\n"); err != nil {
 		return false
 	}
-	for range endlessPieces {
+	for range endlessReplyPieces {
 		if _, err := io.WriteString(nc, "v"); err != nil {
 			return false
 		}
@@ -252,10 +252,10 @@
 	delay := randomDuration(c.rng, 0, maxIdleFaultDelay)
 	c.mu.Unlock()
 	switch fault {
-	case faultForgetIdle:
+	case faultIgnoreNext:
 		_, _ = io.Copy(io.Discard, nc) // until the router gives the connection up
 		return false
-	case faultSpeakIdle:
+	case faultUnsolicitedLine:
 		time.Sleep(delay)
 		_, _ = io.WriteString(nc, "-ERR closing\r\n") // it may have ended
 	case faultResetIdle:
@@ -267,14 +267,14 @@
 	return false
 }
 
-// servedWire is the reply of a cache that serves a request.
-func servedWire(id string) string {
-	value := servedBy(id)
+// servedReply is the reply of a cache that serves a request.
+func servedReply(id string) string {
+	value := servedValue(id)
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
 }
 
-// servedBy is the value of the reply to a request. A few are large.
-func servedBy(id string) string {
+// servedValue is the value of the reply to a request. A few are large.
+func servedValue(id string) string {
 	value := "value-of-" + id
 	if strings.HasSuffix(id, largeValueSuffix) {
 		value += strings.Repeat(".", largeValueSize)
--- a/internal/soaktest/client_test.go
+++ b/internal/soaktest/client_test.go
@@ -14,64 +14,64 @@
 )
 
 const (
-	maxPipeline     = 60
-	maxOutstanding  = 400                    // requests of a client that sends without waiting
-	slowOutstanding = 40                     // of one that reads slowly, which would else still read after SIGKILL
-	maxRest         = 150 * time.Millisecond // between the requests of a client
-	maxCut          = 200 * time.Millisecond // in the middle of a command
-	valueSize       = 3000
-	largeSize       = 60_000 // of a few values
-	largeShare      = 0.02   // of the requests with a value
-	slowWriteShare  = 0.05   // of the batches that are written in many parts
-	slowWriteCuts   = 20     // in such a batch
-	keys            = 50
-	answerWait      = 2 * time.Second       // beyond the timeout, after which no answer is expected any more
-	redialInterval  = 5 * time.Millisecond  // after a connection could not be opened
-	lingerLook      = 30 * time.Millisecond // between looks at what a router has left unread
-	hangupLook      = 20 * time.Millisecond // for which the end of a connection is awaited at a time
-	lingerLooks     = 3
-	slowReadTime    = time.Millisecond // at most, that a slow client takes to read an answer
-	slowShare       = 0.2              // of the clients
-	leaveShare      = 0.05             // of the batches that a client leaves over
-	cutShare        = 0.3              // of the batches that are cut in the middle of a command
-	shortShare      = 0.05             // of the requests with a short timeout
-	maxShortTimeout = 60 * time.Millisecond
-	writeClassShare = 0.3 // of the requests that are writes
+	maxPipeline        = 60
+	maxOutstanding     = 400                    // requests of a client that sends without waiting
+	slowOutstanding    = 40                     // of one that reads slowly, which would else still read after SIGKILL
+	maxPause           = 150 * time.Millisecond // between the requests of a client
+	maxSplitPause      = 200 * time.Millisecond // in the middle of a command
+	setValueSize       = 3000
+	largeSetValueSize  = 60_000 // of a few values
+	largeShare         = 0.02   // of the requests with a value
+	slowWriteShare     = 0.05   // of the batches that are written in many parts
+	slowWriteSplits    = 20     // in such a batch
+	keyCount           = 50
+	answerWait         = 2 * time.Second       // beyond the timeout, after which no answer is expected any more
+	redialInterval     = 5 * time.Millisecond  // after a connection could not be opened
+	unreadPollInterval = 30 * time.Millisecond // between looks at what a router has left unread
+	hangupPollTimeout  = 20 * time.Millisecond // for which the end of a connection is awaited at a time
+	unreadPolls        = 3
+	slowReadTime       = time.Millisecond // at most, that a slow client takes to read an answer
+	slowShare          = 0.2              // of the clients
+	disconnectShare    = 0.05             // of the batches that a client leaves over
+	splitShare         = 0.3              // of the batches that are cut in the middle of a command
+	shortTimeoutShare  = 0.05             // of the requests with a short timeout
+	maxShortTimeout    = 60 * time.Millisecond
+	writeClassShare    = 0.3 // of the requests that are writes
 )
 
 // client uses a router by one connection after the other until the router is gone.
 type client struct {
-	judge      *judge
-	rng        *rand.Rand
-	name       string
-	router     int
-	addr       string
-	maxTimeout time.Duration
-	gone       <-chan struct{} // closed when the router has ended
-	terminated <-chan struct{} // closed when the router has got SIGTERM and takes no more connections
-	slow       bool            // it reads slowly
-	floodShare float64         // of the batches that it replaces by a flood behind which it leaves
-	sent       int
+	checker      *checker
+	rng          *rand.Rand
+	name         string
+	router       int
+	addr         string
+	maxTimeout   time.Duration
+	routerExited <-chan struct{} // closed when the router has ended
+	terminated   <-chan struct{} // closed when the router has got SIGTERM and takes no more connections
+	slow         bool            // it reads slowly
+	floodShare   float64         // of the batches that it replaces by a flood behind which it leaves
+	sent         int
 }
 
 // run uses the router until it is gone.
 func (c *client) run() {
-	for !isClosed(c.gone) && !isClosed(c.terminated) {
+	for !isClosed(c.routerExited) && !isClosed(c.terminated) {
 		nc, err := net.Dial("tcp", c.addr)
 		if err != nil {
 			time.Sleep(redialInterval)
 			continue
 		}
-		c.use(newSession(c, nc.(*net.TCPConn)))
+		c.sendBatches(newSession(c, nc.(*net.TCPConn)))
 	}
 }
 
-// use sends batches on a connection until that ends.
-func (c *client) use(s *session) {
+// sendBatches sends batches on a connection until that ends.
+func (c *client) sendBatches(s *session) {
 	defer s.close()
 	for !s.hasEnded() {
 		if c.rng.Float64() < c.floodShare {
-			c.floodAndLeave()
+			c.floodAndDisconnect()
 		}
 		size := 1
 		if c.rng.IntN(2) == 0 {
@@ -82,9 +82,9 @@
 			<-s.ended
 			return
 		}
-		if c.rng.Float64() < leaveShare {
-			time.Sleep(randomDuration(c.rng, 0, maxRest/10))
-			c.judge.clientEnds(s.connection)
+		if c.rng.Float64() < disconnectShare {
+			time.Sleep(randomDuration(c.rng, 0, maxPause/10))
+			c.checker.recordClientClose(s.connection)
 			if c.rng.IntN(2) == 0 {
 				_ = s.nc.SetLinger(0) // a reset; fails only if the connection has ended
 			}
@@ -99,7 +99,7 @@
 			return
 		}
 		if c.rng.IntN(3) == 0 {
-			time.Sleep(randomDuration(c.rng, 0, maxRest))
+			time.Sleep(randomDuration(c.rng, 0, maxPause))
 		}
 	}
 }
@@ -121,14 +121,14 @@
 			class:   classRead,
 			timeout: randomDuration(c.rng, c.maxTimeout/4, c.maxTimeout).Truncate(time.Millisecond),
 		}
-		if c.rng.Float64() < shortShare {
+		if c.rng.Float64() < shortTimeoutShare {
 			r.timeout = randomDuration(c.rng, time.Millisecond, maxShortTimeout).Truncate(time.Millisecond)
 		}
 		if c.rng.Float64() < writeClassShare {
 			r.class = []string{classPut, classOnce}[c.rng.IntN(2)]
 		}
 		r.large = c.rng.Float64() < largeShare
-		r.wire = encode(r, c.rng.IntN(keys))
+		r.wire = encode(r, c.rng.IntN(keyCount))
 		batch = append(batch, r)
 	}
 	return batch
@@ -141,9 +141,9 @@
 	switch r.class {
 	case classPut:
 		words[0], words[3] = resp.VerbSet, options+",k="+r.id
-		size := valueSize
+		size := setValueSize
 		if r.large {
-			size = largeSize
+			size = largeSetValueSize
 		}
 		words = append(words, strings.Repeat("v", size))
 	case classOnce:
@@ -161,27 +161,27 @@
 	ended      chan struct{} // closed when nothing more is received
 	progress   chan struct{} // receives when an answer has come
 
-	endNoted sync.Once
+	endOnce sync.Once
 
-	writing   sync.Mutex // held during each write
-	over      bool       // nothing more is written; guarded by writing
-	sentBytes int64      // guarded by writing
-	mu        sync.Mutex
-	written   int // requests
-	answered  int
-	lastDue   time.Time
+	writing     sync.Mutex // held during each write
+	writeClosed bool       // nothing more is written; guarded by writing
+	sentBytes   int64      // guarded by writing
+	mu          sync.Mutex
+	written     int // requests
+	answered    int
+	lastDue     time.Time
 }
 
 func newSession(c *client, nc *net.TCPConn) *session {
 	s := &session{
 		client:     c,
 		nc:         nc,
-		connection: c.judge.connected(c.router, c.slow),
+		connection: c.checker.addConnection(c.router, c.slow),
 		ended:      make(chan struct{}),
 		progress:   make(chan struct{}, 1),
 	}
 	go s.readAnswers()
-	go s.watchEnd()
+	go s.awaitEnd()
 	return s
 }
 
@@ -189,7 +189,7 @@
 
 // close closes the connection. What the router has left unread was looked at before.
 func (s *session) close() {
-	s.client.judge.clientEnds(s.connection)
+	s.client.checker.recordClientClose(s.connection)
 	_ = s.nc.Close() // it may have ended
 	<-s.ended
 }
@@ -202,28 +202,28 @@
 	for _, r := range batch {
 		wire = append(wire, r.wire...)
 	}
-	cuts := 0
+	splits := 0
 	switch draw := rng.Float64(); {
 	case draw < slowWriteShare:
-		cuts = slowWriteCuts
-	case draw < cutShare:
-		cuts = 1
+		splits = slowWriteSplits
+	case draw < splitShare:
+		splits = 1
 	}
-	if s.isOver() {
+	if s.isWriteClosed() {
 		return false
 	}
-	s.noteBatch(batch)
-	for range cuts {
-		cut := rng.IntN(len(wire))
-		if !s.writePart(wire[:cut]) || !s.pause(randomDuration(rng, 0, maxCut/time.Duration(cuts))) {
+	s.recordBatch(batch)
+	for range splits {
+		split := rng.IntN(len(wire))
+		if !s.writePart(wire[:split]) || !s.pause(randomDuration(rng, 0, maxSplitPause/time.Duration(splits))) {
 			return false
 		}
-		wire = wire[cut:]
+		wire = wire[split:]
 	}
 	if !s.writePart(wire) {
 		return false
 	}
-	s.client.judge.wrote(batch)
+	s.client.checker.recordWritten(batch)
 	return true
 }
 
@@ -237,17 +237,17 @@
 	}
 }
 
-// isOver reports whether nothing more may be written.
-func (s *session) isOver() bool {
+// isWriteClosed reports whether nothing more may be written.
+func (s *session) isWriteClosed() bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	return s.over
+	return s.writeClosed
 }
 
-// noteBatch tells the judge of a batch before it is written.
-func (s *session) noteBatch(batch []*request) {
+// recordBatch tells the judge of a batch before it is written.
+func (s *session) recordBatch(batch []*request) {
 	for _, r := range batch {
-		s.client.judge.willWrite(s.connection, r)
+		s.client.checker.addRequest(s.connection, r)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,7 +258,7 @@
 func (s *session) writePart(wire []byte) bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	if s.over {
+	if s.writeClosed {
 		return false
 	}
 	n, err := s.nc.Write(wire)
@@ -272,7 +272,7 @@
 	for {
 		s.mu.Lock()
 		enough := s.written-s.answered <= unanswered
-		patience := time.Until(s.lastDue) + answerWait
+		wait := time.Until(s.lastDue) + answerWait
 		s.mu.Unlock()
 		if enough {
 			return true
@@ -281,7 +281,7 @@
 		case <-s.progress:
 		case <-s.ended:
 			return false
-		case <-time.After(patience):
+		case <-time.After(wait):
 			return false
 		}
 	}
@@ -294,11 +294,11 @@
 	for {
 		wire, _, err := faulttest.ReadAnswer(reader)
 		if err != nil {
-			s.client.judge.readToEnd(s.connection)
-			s.endedByRouter()
+			s.client.checker.recordFullyRead(s.connection)
+			s.handleRouterClose()
 			return
 		}
-		s.client.judge.answered(s.connection, wire)
+		s.client.checker.recordAnswer(s.connection, wire)
 		if s.client.slow {
 			time.Sleep(slowReadTime)
 		}
@@ -312,36 +312,36 @@
 	}
 }
 
-// watchEnd notes the end of the connection when it arrives, before a slow client has read all that
+// awaitEnd notes the end of the connection when it arrives, before a slow client has read all that
 // precedes it.
-func (s *session) watchEnd() {
+func (s *session) awaitEnd() {
 	for !s.hasEnded() {
-		if awaitHangup(s.nc, hangupLook) {
-			s.endedByRouter()
+		if awaitHangup(s.nc, hangupPollTimeout) {
+			s.handleRouterClose()
 			return
 		}
 	}
 }
 
-// endedByRouter notes that the connection has ended, and looks at what the router has left unread for
+// handleRouterClose notes that the connection has ended, and looks at what the router has left unread for
 // as long as its side of the connection is there.
-func (s *session) endedByRouter() { s.endNoted.Do(s.noteEnd) }
+func (s *session) handleRouterClose() { s.endOnce.Do(s.recordEnd) }
 
-func (s *session) noteEnd() {
-	s.client.judge.routerEnded(s.connection)
+func (s *session) recordEnd() {
+	s.client.checker.recordRouterClose(s.connection)
 	_ = s.nc.SetWriteDeadline(time.Now()) // ends a write that the router does not read any more
 	s.writing.Lock()
-	s.over = true
+	s.writeClosed = true
 	sent := s.sentBytes
 	s.writing.Unlock()
-	for range lingerLooks {
+	for range unreadPolls {
 		// This look comes first: what is on its way between the two must not count as read.
-		undelivered, told := undeliveredBy(s.nc)
-		unread, ok := unreadBy(s.nc.RemoteAddr(), s.nc.LocalAddr())
-		if told && ok { // a look may miss a socket while the list of sockets changes
-			s.client.judge.routerRead(s.connection, sent-undelivered-unread)
+		undelivered, known := undeliveredBytes(s.nc)
+		unread, ok := unreadBytes(s.nc.RemoteAddr(), s.nc.LocalAddr())
+		if known && ok { // a look may miss a socket while the list of sockets changes
+			s.client.checker.recordBytesRead(s.connection, sent-undelivered-unread)
 		}
-		time.Sleep(lingerLook)
+		time.Sleep(unreadPollInterval)
 	}
 }
 
--- a/internal/soaktest/discovery_test.go
+++ b/internal/soaktest/discovery_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	watchTime       = 500 * time.Millisecond // after which a watch without news is answered
-	slowReplyPauses = 5                      // in a reply that comes slowly
-	slowReplyPause  = 40 * time.Millisecond
+	watchTimeout   = 500 * time.Millisecond // after which a watch without news is answered
+	slowReplyParts = 5                      // in a reply that comes slowly
+	slowReplyPause = 40 * time.Millisecond
 )
 
 // discoveryFault is what a discovery service does with a reply instead of sending it at once.
@@ -29,30 +29,30 @@
 	discoveryReset                          // it is broken off by a reset
 	discoveryNoLength                       // it has no length, and the connection ends behind it
 	discoverySlow
-	discoveryFaults // the number of faults
+	discoveryFaultCount // the number of faults
 )
 
 // discovery is the discovery service of one router. While it is down it says nothing.
 type discovery struct {
-	server *httptest.Server
-	fleet  *fleet
-	told   func(endpoint) // is told of each entry just before it is written
-	down   atomic.Bool
-	share  float64 // of the replies that meet a fault
+	server     *httptest.Server
+	endpoints  *endpointList
+	onSend     func(endpoint) // is told of each entry just before it is written
+	down       atomic.Bool
+	faultShare float64 // of the replies that meet a fault
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
 // startDiscovery starts a service that tells of the fleet without faults.
-func startDiscovery(t *testing.T, f *fleet) *discovery {
+func startDiscovery(t *testing.T, endpoints *endpointList) *discovery {
 	t.Helper()
-	return startFaultyDiscovery(t, f, newRand(0, 0), 0, func(endpoint) {})
+	return startFaultyDiscovery(t, endpoints, newRand(0, 0), 0, func(endpoint) {})
 }
 
-func startFaultyDiscovery(t *testing.T, f *fleet, rng *rand.Rand, share float64, told func(endpoint)) *discovery {
+func startFaultyDiscovery(t *testing.T, endpoints *endpointList, rng *rand.Rand, faultShare float64, onSend func(endpoint)) *discovery {
 	t.Helper()
-	d := &discovery{fleet: f, told: told, share: share, rng: rng}
+	d := &discovery{endpoints: endpoints, onSend: onSend, faultShare: faultShare, rng: rng}
 	d.server = httptest.NewServer(http.HandlerFunc(d.handle))
 	t.Cleanup(d.close)
 	return d
@@ -65,10 +65,10 @@
 
 func (d *discovery) addr() string { return d.server.Listener.Addr().String() }
 
-func (d *discovery) draw() (fault discoveryFault, faulty bool) {
+func (d *discovery) nextFault() (fault discoveryFault, faulty bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return discoveryFault(d.rng.IntN(int(discoveryFaults))), d.rng.Float64() < d.share
+	return discoveryFault(d.rng.IntN(int(discoveryFaultCount))), d.rng.Float64() < d.faultShare
 }
 
 func (d *discovery) handle(w http.ResponseWriter, r *http.Request) {
@@ -77,29 +77,29 @@
 	}
 	after, err := strconv.Atoi(r.URL.Query().Get("after"))
 	if err != nil {
-		list, version := d.fleet.list()
+		list, version := d.endpoints.snapshot()
 		d.reply(w, r, list, version, true)
 		return
 	}
-	if version, changed := d.fleet.version(); version <= after {
+	if version, changed := d.endpoints.version(); version <= after {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-changed:
-		case <-time.After(watchTime):
+		case <-time.After(watchTimeout):
 		}
 		if !d.awaitUp(r) {
 			return
 		}
 	}
-	changes, version := d.fleet.since(after)
+	changes, version := d.endpoints.changesSince(after)
 	d.reply(w, r, changes, version, false)
 }
 
 // awaitUp waits until the service is not down, and reports false if the caller has gone.
 func (d *discovery) awaitUp(r *http.Request) bool {
 	for d.down.Load() {
-		if !sleepUnlessGone(r, watchTime/10) {
+		if !sleepUnlessGone(r, watchTimeout/10) {
 			return false
 		}
 	}
@@ -109,24 +109,24 @@
 // reply sends entries, or what a fault makes of that.
 func (d *discovery) reply(w http.ResponseWriter, r *http.Request, entries []endpoint, version int, complete bool) {
 	body := listBody(entries, version, complete)
-	fault, faulty := d.draw()
+	fault, faulty := d.nextFault()
 	switch {
 	case !faulty:
-		d.noteTold(entries)
+		d.notifySend(entries)
 		_, _ = io.WriteString(w, body) // the caller may have gone
 	case fault == discoverySilent:
 		<-r.Context().Done()
 	case fault == discoverySlow:
-		d.noteTold(entries)
-		for i := range slowReplyPauses {
-			part := len(body) / slowReplyPauses
+		d.notifySend(entries)
+		for i := range slowReplyParts {
+			part := len(body) / slowReplyParts
 			_, _ = io.WriteString(w, body[i*part:(i+1)*part]) // the caller may have gone
 			w.(http.Flusher).Flush()
 			if !sleepUnlessGone(r, slowReplyPause) {
 				return
 			}
 		}
-		_, _ = io.WriteString(w, body[slowReplyPauses*(len(body)/slowReplyPauses):])
+		_, _ = io.WriteString(w, body[slowReplyParts*(len(body)/slowReplyParts):])
 	default:
 		d.replyWithoutLength(w, entries, body, fault == discoveryReset)
 	}
@@ -142,7 +142,7 @@
 	if reset {
 		body = body[:len(body)/2]
 	} else {
-		d.noteTold(entries)
+		d.notifySend(entries)
 	}
 	_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"+body)
 	if reset {
@@ -150,9 +150,9 @@
 	}
 }
 
-func (d *discovery) noteTold(entries []endpoint) {
+func (d *discovery) notifySend(entries []endpoint) {
 	for _, e := range entries {
-		d.told(e)
+		d.onSend(e)
 	}
 }
 
--- a/internal/soaktest/fleet_test.go
+++ b/internal/soaktest/endpoint_list_test.go
@@ -33,43 +33,43 @@
 		e.name, e.address, e.state, since)
 }
 
-// fleet is the endpoint list that all discovery services of a play tell. Each change has a version.
-type fleet struct {
+// endpointList is the endpoint list that all discovery services of a play tell. Each change has a version.
+type endpointList struct {
 	mu      sync.Mutex
 	changes []endpoint    // by version, the first of which is 1
 	changed chan struct{} // closed with the next change
 }
 
-func newFleet(endpoints ...endpoint) *fleet {
-	return &fleet{changes: endpoints, changed: make(chan struct{})}
+func newEndpointList(endpoints ...endpoint) *endpointList {
+	return &endpointList{changes: endpoints, changed: make(chan struct{})}
 }
 
 // publish adds changes to the list.
-func (f *fleet) publish(changes ...endpoint) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.changes = append(f.changes, changes...)
-	close(f.changed)
-	f.changed = make(chan struct{})
+func (l *endpointList) publish(changes ...endpoint) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.changes = append(l.changes, changes...)
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // version returns the present version, and a channel that is closed with the next one.
-func (f *fleet) version() (int, <-chan struct{}) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.changes), f.changed
+func (l *endpointList) version() (int, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.changes), l.changed
 }
 
-// since returns what has changed after a version, and the version that it leads to.
-func (f *fleet) since(version int) (changed []endpoint, now int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return slices.Clone(f.changes[min(max(version, 0), len(f.changes)):]), len(f.changes)
+// changesSince returns what has changed after a version, and the version that it leads to.
+func (l *endpointList) changesSince(version int) (changed []endpoint, now int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.changes[min(max(version, 0), len(l.changes)):]), len(l.changes)
 }
 
-// list returns the complete list and its version.
-func (f *fleet) list() ([]endpoint, int) {
-	changes, version := f.since(0)
+// snapshot returns the complete snapshot and its version.
+func (l *endpointList) snapshot() ([]endpoint, int) {
+	changes, version := l.changesSince(0)
 	var list []endpoint
 	for _, e := range changes {
 		i := slices.IndexFunc(list, func(other endpoint) bool { return other.name == e.name })
--- a/internal/soaktest/late_replies_test.go
+++ b/internal/soaktest/late_replies_test.go
@@ -16,73 +16,73 @@
 // the router must learn from those second replies that it can tell.
 func TestLateSecondReplies(t *testing.T) {
 	const (
-		clients      = 12
-		pipelined    = 6
-		playTime     = 4 * time.Second
-		timeout      = 2 * time.Second
-		secondEvery  = 100
-		leastLate    = 12 * time.Millisecond
-		mostLate     = 22 * time.Millisecond
-		cacheDelay   = 15 * time.Millisecond // of the second cache; the third has twice that
-		caches       = 3
-		wrongAllowed = 2 // for each second reply, on average; there were seven to ten
+		clients          = 12
+		batchSize        = 6
+		loadTime         = 4 * time.Second
+		timeout          = 2 * time.Second
+		secondReplyEvery = 100
+		minLate          = 12 * time.Millisecond
+		maxLate          = 22 * time.Millisecond
+		cacheDelay       = 15 * time.Millisecond // of the second cache; the third has twice that
+		caches           = 3
+		maxWrongPerReply = 2 // for each second reply, on average; there were seven to ten
 	)
-	j := newJudge()
-	p := plan{seed: 1, longestTimeout: timeout, routers: 1, descriptors: manyDescriptors, warmupTime: usualWarmupTime}
-	var replies, seconds atomic.Int64
-	fleet := newFleet()
+	ck := newChecker()
+	p := plan{seed: 1, longestTimeout: timeout, routers: 1, descriptors: manyDescriptors, warmupTime: defaultWarmupTime}
+	var replies, secondReplies atomic.Int64
+	endpoints := newEndpointList()
 	for i := range caches {
-		c := startCache(t, fmt.Sprint("c", i), j, &p, uint64(i))
+		c := startCache(t, fmt.Sprint("c", i), ck, &p, uint64(i))
 		c.handle = func(nc *net.TCPConn, id string) bool {
 			time.Sleep(time.Duration(i) * cacheDelay)
-			if _, err := io.WriteString(nc, servedWire(id)); err != nil {
+			if _, err := io.WriteString(nc, servedReply(id)); err != nil {
 				return false
 			}
-			if n := replies.Add(1); n%secondEvery == 0 {
-				seconds.Add(1)
-				late := leastLate + time.Duration(n/secondEvery)*time.Millisecond%(mostLate-leastLate)
-				time.AfterFunc(late, func() { _, _ = io.WriteString(nc, servedWire(id)) }) // it may have ended
+			if n := replies.Add(1); n%secondReplyEvery == 0 {
+				secondReplies.Add(1)
+				late := minLate + time.Duration(n/secondReplyEvery)*time.Millisecond%(maxLate-minLate)
+				time.AfterFunc(late, func() { _, _ = io.WriteString(nc, servedReply(id)) }) // it may have ended
 			}
 			return true
 		}
-		fleet.publish(c.endpoint())
+		endpoints.publish(c.endpoint())
 	}
-	router := startRouter(t, buildRouter(t), "n0", &p, startDiscovery(t, fleet).addr(), fleet)
+	router := startRouter(t, buildRouter(t), "n0", &p, startDiscovery(t, endpoints).addr(), endpoints)
 	var running sync.WaitGroup
-	over := time.Now().Add(playTime)
+	end := time.Now().Add(loadTime)
 	for i := range clients {
-		c := &client{judge: j, rng: newRand(1, uint64(10+i)), name: fmt.Sprint("n", i), addr: router.addr, maxTimeout: timeout}
-		running.Go(func() { c.pipeline(pipelined, over) })
+		c := &client{checker: ck, rng: newRand(1, uint64(10+i)), name: fmt.Sprint("n", i), addr: router.addr, maxTimeout: timeout}
+		running.Go(func() { c.sendPipelined(batchSize, end) })
 	}
 	running.Wait()
-	v := j.verdict([]time.Time{time.Now().Add(time.Hour)})
-	t.Logf("%d second replies; %v", seconds.Load(), v)
-	if wrong := len(v.violations); int64(wrong) > wrongAllowed*seconds.Load() {
-		t.Errorf("%d wrong answers after %d second replies", wrong, seconds.Load())
+	v := ck.check([]time.Time{time.Now().Add(time.Hour)})
+	t.Logf("%d second replies; %v", secondReplies.Load(), v)
+	if wrong := len(v.violations); int64(wrong) > maxWrongPerReply*secondReplies.Load() {
+		t.Errorf("%d wrong answers after %d second replies", wrong, secondReplies.Load())
 	}
 }
 
-// pipeline sends batches of reads, each when the one before is answered.
-func (c *client) pipeline(size int, over time.Time) {
+// sendPipelined sends batches of reads, each when the one before is answered.
+func (c *client) sendPipelined(size int, end time.Time) {
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		return // no request is served then
 	}
 	s := newSession(c, nc.(*net.TCPConn))
 	defer s.close()
-	for time.Now().Before(over) {
+	for time.Now().Before(end) {
 		batch := c.newBatch(size)
 		for _, r := range batch {
 			r.class = classRead
-			r.wire = encode(r, c.rng.IntN(keys))
+			r.wire = encode(r, c.rng.IntN(keyCount))
 		}
-		s.noteBatch(batch)
+		s.recordBatch(batch)
 		for _, r := range batch {
 			if !s.writePart(r.wire) {
 				return
 			}
 		}
-		c.judge.wrote(batch)
+		c.checker.recordWritten(batch)
 		if !s.awaitAnswers(0) {
 			return
 		}
--- a/internal/soaktest/plan_test.go
+++ b/internal/soaktest/plan_test.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	maxKillTimeout  = 3 * time.Second        // of the longest timeout, as much as counts before SIGKILL
-	killDelay       = 700 * time.Millisecond // beyond it, when SIGKILL follows SIGTERM
-	stopTime        = 150 * time.Millisecond // for which a process is stopped and continued
-	usualWarmupTime = 2 * time.Second        // of a cache that has started
-	connectAfter    = 300 * time.Millisecond // after SIGTERM, for which clients open connections
-	maxClients      = 24                     // of all routers, that send requests
-	fewDescriptors  = 128
-	manyDescriptors = 1024
-	maxFloodShare   = 0.03
-	maxListDelay    = 500 * time.Millisecond // from what happens to a cache to the list that tells of it
+	maxTimeoutBeforeKill = 3 * time.Second        // of the longest timeout, as much as counts before SIGKILL
+	killDelay            = 700 * time.Millisecond // beyond it, when SIGKILL follows SIGTERM
+	stopTime             = 150 * time.Millisecond // for which a process is stopped and continued
+	defaultWarmupTime    = 2 * time.Second        // of a cache that has started
+	connectWindow        = 300 * time.Millisecond // after SIGTERM, for which clients open connections
+	maxClients           = 24                     // of all routers, that send requests
+	fewDescriptors       = 128
+	manyDescriptors      = 1024
+	maxFloodShare        = 0.03
+	maxListDelay         = 500 * time.Millisecond // from what happens to a cache to the list that tells of it
 )
 
 // plan is what is drawn for a seed.
 type plan struct {
-	seed           uint64
-	longestTimeout time.Duration
-	routers        int
-	caches         int
-	clients        int // of each router
-	idleClients    int // of each router, that connect and send nothing more
-	descriptors    int
-	discoveryDown  bool    // until shortly before the first SIGTERM
-	discoveryShare float64 // of the replies of discovery services that meet a fault
-	floodShare     float64 // of the batches that clients replace by a flood behind which they leave
-	untoldArrivals bool    // the system does not tell when bytes arrived
-	minServiceTime time.Duration
-	maxServiceTime time.Duration // of a request that a cache serves at once
-	warmupTime     time.Duration // of a cache that has started
-	faultShare     float64
-	signals        []plannedSignal
-	events         []cacheEvent
-	length         time.Duration
+	seed                uint64
+	longestTimeout      time.Duration
+	routers             int
+	caches              int
+	clients             int // of each router
+	idleClients         int // of each router, that connect and send nothing more
+	descriptors         int
+	discoveryDown       bool    // until shortly before the first SIGTERM
+	discoveryFaultShare float64 // of the replies of discovery services that meet a fault
+	floodShare          float64 // of the batches that clients replace by a flood behind which they leave
+	noTCPInfo           bool    // the system does not tell when bytes arrived
+	minServiceTime      time.Duration
+	maxServiceTime      time.Duration // of a request that a cache serves at once
+	warmupTime          time.Duration // of a cache that has started
+	faultShare          float64
+	signals             []plannedSignal
+	events              []cacheEvent
+	duration            time.Duration
 }
 
 // plannedSignal is sent to a router at a time since the start of the clients.
@@ -53,16 +53,16 @@
 type cacheEventKind int
 
 const (
-	eventDrain      cacheEventKind = iota // it drains and serves on
-	eventVanish                           // its process ends, and the list tells of that later
-	eventRestart                          // its process ends and starts again
-	eventMove                             // the same at another address
-	eventHang                             // it replies to nothing more
-	cacheEventKinds                       // the number of kinds
+	eventDrain          cacheEventKind = iota // it drains and serves on
+	eventVanish                               // its process ends, and the list tells of that later
+	eventRestart                              // its process ends and starts again
+	eventMove                                 // the same at another address
+	eventHang                                 // it replies to nothing more
+	cacheEventKindCount                       // the number of kinds
 )
 
 func (k cacheEventKind) String() string {
-	return [cacheEventKinds]string{"drain", "vanish", "restart", "move", "hang"}[k]
+	return [cacheEventKindCount]string{"drain", "vanish", "restart", "move", "hang"}[k]
 }
 
 // cacheEvent happens to a cache at a time since the start of the clients.
@@ -73,7 +73,7 @@
 	listDelay time.Duration // until the list tells of it
 }
 
-func drawPlan(seed uint64) plan {
+func generatePlan(seed uint64) plan {
 	rng := newRand(seed, 0)
 	p := plan{
 		seed:           seed,
@@ -82,7 +82,7 @@
 		caches:         3 + rng.IntN(3),
 		descriptors:    manyDescriptors,
 		maxServiceTime: maxServiceTime,
-		warmupTime:     usualWarmupTime,
+		warmupTime:     defaultWarmupTime,
 		discoveryDown:  rng.IntN(3) == 0,
 		faultShare:     0.3 * rng.Float64(),
 	}
@@ -92,15 +92,15 @@
 		p.idleClients = 20 + rng.IntN(60)
 	}
 	if rng.IntN(2) == 0 {
-		p.discoveryShare = 0.4 * rng.Float64()
+		p.discoveryFaultShare = 0.4 * rng.Float64()
 	}
 	if rng.IntN(3) == 0 {
 		p.floodShare = maxFloodShare * rng.Float64()
 	}
-	p.untoldArrivals = rng.IntN(2) == 0
+	p.noTCPInfo = rng.IntN(2) == 0
 	for cache := 1; cache < p.caches; cache++ { // the first one stays
-		kind := cacheEventKind(rng.IntN(int(cacheEventKinds) + 2))
-		if kind >= cacheEventKinds {
+		kind := cacheEventKind(rng.IntN(int(cacheEventKindCount) + 2))
+		if kind >= cacheEventKindCount {
 			kind = eventHang // of which requests wait until their deadlines
 		}
 		if rng.IntN(3) > 0 {
@@ -109,43 +109,43 @@
 			})
 		}
 	}
-	calm := randomDuration(rng, 400*time.Millisecond, time.Second)
+	firstTermination := randomDuration(rng, 400*time.Millisecond, time.Second)
 	stagger := randomDuration(rng, 0, 300*time.Millisecond)
 	for router := range p.routers {
-		p.drawSignals(rng, router, calm+time.Duration(router)*stagger)
+		p.generateSignals(rng, router, firstTermination+time.Duration(router)*stagger)
 	}
 	return p
 }
 
-// drawSignals draws the signals of a router that is told to end at the given time.
-func (p *plan) drawSignals(rng *rand.Rand, router int, terminated time.Duration) {
+// generateSignals draws the signals of a router that is told to end at the given time.
+func (p *plan) generateSignals(rng *rand.Rand, router int, terminateAt time.Duration) {
 	add := func(at time.Duration, signal syscall.Signal) {
 		p.signals = append(p.signals, plannedSignal{router, at, signal})
 	}
-	killed := terminated + min(p.longestTimeout, maxKillTimeout) + killDelay
+	killAt := terminateAt + min(p.longestTimeout, maxTimeoutBeforeKill) + killDelay
 	for range rng.IntN(4) {
-		add(randomDuration(rng, 0, killed-killDelay), syscall.SIGHUP)
+		add(randomDuration(rng, 0, killAt-killDelay), syscall.SIGHUP)
 	}
 	stop := func(at time.Duration) {
 		add(at, syscall.SIGSTOP)
 		add(at+stopTime, syscall.SIGCONT)
 	}
 	for range rng.IntN(9) {
-		stop(randomDuration(rng, 0, killed-killDelay))
+		stop(randomDuration(rng, 0, killAt-killDelay))
 	}
 	if rng.IntN(2) == 0 { // about when the last replies are due
-		stop(killed - randomDuration(rng, stopTime+killSlack, killDelay))
+		stop(killAt - randomDuration(rng, stopTime+killSlack, killDelay))
 	}
-	add(terminated, syscall.SIGTERM)
-	add(killed, syscall.SIGKILL)
-	p.length = max(p.length, killed)
+	add(terminateAt, syscall.SIGTERM)
+	add(killAt, syscall.SIGKILL)
+	p.duration = max(p.duration, killAt)
 }
 
 func (p *plan) String() string {
 	return fmt.Sprintf("seed %d: timeout %v, %d routers, %d caches %v, %d+%d clients each, floods %.2f, %d descriptors, "+
 		"without TCP_INFO %t, discovery down %t, faults %.2f, faults of caches %.2f",
 		p.seed, p.longestTimeout, p.routers, p.caches, p.events, p.clients, p.idleClients, p.floodShare, p.descriptors,
-		p.untoldArrivals, p.discoveryDown, p.discoveryShare, p.faultShare)
+		p.noTCPInfo, p.discoveryDown, p.discoveryFaultShare, p.faultShare)
 }
 
 // newRand returns the random numbers of one part of a seed's play.
--- a/internal/soaktest/process_test.go
+++ b/internal/soaktest/process_test.go
@@ -52,9 +52,9 @@
 }
 
 // startRouter starts a router and waits until it serves.
-func startRouter(t *testing.T, program, name string, p *plan, discovery string, known *fleet) *routerProcess {
+func startRouter(t *testing.T, program, name string, p *plan, discovery string, known *endpointList) *routerProcess {
 	t.Helper()
-	endpoints, version := known.list()
+	endpoints, version := known.snapshot()
 	config := map[string]any{
 		"name":      name,
 		"listen":    "127.0.0.1:0",
@@ -110,7 +110,7 @@
 // routerCommand returns the command that runs the router on the system that the plan asks for.
 func routerCommand(t *testing.T, program string, p *plan) *exec.Cmd {
 	t.Helper()
-	if p.untoldArrivals {
+	if p.noTCPInfo {
 		return withoutTCPInfo(t, program)
 	}
 	cmd := exec.Command(program)
--- a/internal/soaktest/starved_test.go
+++ b/internal/soaktest/starved_test.go
@@ -18,8 +18,8 @@
 	starvedListeners  = 8                     // of the caches, each of which has many names
 	readyTime         = 500 * time.Millisecond
 	releaseInterval   = time.Second
-	releaseParts      = 20   // steps in which all caches are replaced
-	servedAtSize      = 0.85 // least part of what is served before few caches that is served before many
+	releaseSteps      = 20   // steps in which all caches are replaced
+	minServedRatio    = 0.85 // least part of what is served before few caches that is served before many
 )
 
 // cacheCondition is the state that the caches of a starved router are in.
@@ -28,17 +28,17 @@
 const (
 	allWarm cacheCondition = iota
 	allJustStarted
-	halfRefuse // half of the listed caches refuse connections
-	inRelease  // one in twenty is replaced each second
+	halfRefuse     // half of the listed caches refuse connections
+	rollingRelease // one in twenty is replaced each second
 )
 
-// TestStarvedRouterBeforeManyCaches checks that a router that gets a tenth of a core answers every request
+// TestStarvedRouterWithManyCaches checks that a router that gets a tenth of a core answers every request
 // in time, also before thousands of caches.
 //
 // Seen: one request in four of a fleet lost, only with thousands of caches, from when most of them had
 // started lately. Cause: the work for a decision grew with the square of the caches, and a request whose
 // time was over cost most of all.
-func TestStarvedRouterBeforeManyCaches(t *testing.T) {
+func TestStarvedRouterWithManyCaches(t *testing.T) {
 	const (
 		share = 0.1
 		rate  = 25 // requests a second
@@ -47,7 +47,7 @@
 	)
 	program := buildRouter(t)
 	conditions := map[string]cacheCondition{
-		"all just started": allJustStarted, "half refuse": halfRefuse, "in a release": inRelease,
+		"all just started": allJustStarted, "half refuse": halfRefuse, "in a release": rollingRelease,
 	}
 	for name, condition := range conditions {
 		t.Run(name, func(t *testing.T) {
@@ -55,11 +55,11 @@
 			for _, caches := range []int{few, many} {
 				s := newStarvedTest(t, program, caches, condition)
 				go throttle(s.router.cmd.Process.Pid, share, s.done)
-				v := s.play(rate, 6*time.Second)
+				v := s.sendLoad(rate, 6*time.Second)
 				s.wantNoViolation(v)
 				served[caches] = v.served
 			}
-			if float64(served[many]) < servedAtSize*float64(served[few]) {
+			if float64(served[many]) < minServedRatio*float64(served[few]) {
 				t.Errorf("%d served before %d caches, %d before %d", served[many], many, served[few], few)
 			}
 		})
@@ -78,22 +78,22 @@
 		carriedRate   = 250 // requests a second
 		overloadRate  = 1000
 		lowRate       = 30
-		playTime      = 4 * time.Second
+		loadTime      = 4 * time.Second
 		recoveryTime  = 2 * time.Second
 		goodputShare  = 0.8 // of what is served at the rate that is carried
 		recoveryShare = 0.9 // of the requests that are served once the overload is over
 	)
 	s := newStarvedTest(t, buildRouter(t), caches, allWarm)
 	go throttle(s.router.cmd.Process.Pid, share, s.done)
-	carried := s.play(carriedRate, playTime)
+	carried := s.sendLoad(carriedRate, loadTime)
 	s.wantNoViolation(carried)
-	overload := s.play(overloadRate, playTime)
+	overload := s.sendLoad(overloadRate, loadTime)
 	s.wantNoViolation(overload)
 	if float64(overload.served) < goodputShare*float64(carried.served) {
 		t.Errorf("%d served in overload, %d before", overload.served, carried.served)
 	}
-	s.play(lowRate, recoveryTime)
-	after := s.play(lowRate, playTime)
+	s.sendLoad(lowRate, recoveryTime)
+	after := s.sendLoad(lowRate, loadTime)
 	s.wantNoViolation(after)
 	if float64(after.served) < recoveryShare*float64(after.requests) {
 		t.Errorf("%v after the overload", after)
@@ -102,17 +102,17 @@
 
 // starvedTest is a router process before caches that share a few listeners.
 type starvedTest struct {
-	t      *testing.T
-	judge  *judge
-	fleet  *fleet
-	router *routerProcess
-	plays  int
-	done   chan struct{} // closed at the end of the test
+	t         *testing.T
+	checker   *checker
+	endpoints *endpointList
+	router    *routerProcess
+	loads     int
+	done      chan struct{} // closed at the end of the test
 }
 
 func newStarvedTest(t *testing.T, program string, caches int, condition cacheCondition) *starvedTest {
 	t.Helper()
-	s := &starvedTest{t: t, judge: newJudge(), done: make(chan struct{})}
+	s := &starvedTest{t: t, checker: newChecker(), done: make(chan struct{})}
 	p := plan{
 		seed: 1, longestTimeout: starvedTimeout, descriptors: manyDescriptors, warmupTime: starvedWarmupTime,
 		routers:        caches * 3 / 2, // as many as share the caches where each has the same part of them
@@ -120,10 +120,10 @@
 	}
 	var addresses []string
 	for i := range starvedListeners {
-		addresses = append(addresses, startCache(t, fmt.Sprint("listener", i), s.judge, &p, uint64(100+i)).endpoint().address)
+		addresses = append(addresses, startCache(t, fmt.Sprint("listener", i), s.checker, &p, uint64(100+i)).endpoint().address)
 	}
 	refusing := refusingAddress(t)
-	fleet := newFleet()
+	endpoints := newEndpointList()
 	for i := range caches {
 		e := endpoint{name: fmt.Sprintf("c%04d", i), state: stateInService, address: addresses[i%len(addresses)]}
 		switch {
@@ -132,23 +132,23 @@
 		case condition == halfRefuse && i%2 == 0:
 			e.address = refusing
 		}
-		fleet.publish(e)
+		endpoints.publish(e)
 	}
-	s.fleet = fleet
-	s.router = startRouter(t, program, "n0", &p, startDiscovery(t, fleet).addr(), fleet)
+	s.endpoints = endpoints
+	s.router = startRouter(t, program, "n0", &p, startDiscovery(t, endpoints).addr(), endpoints)
 	time.Sleep(readyTime)
 	t.Cleanup(func() { close(s.done) })
-	if condition == inRelease {
-		go s.release(caches, addresses)
+	if condition == rollingRelease {
+		go s.replaceCaches(caches, addresses)
 	}
 	return s
 }
 
-// release replaces caches until the test is over: the new ones are listed a second before the old ones go.
-func (s *starvedTest) release(caches int, addresses []string) {
+// replaceCaches replaces caches until the test is over: the new ones are listed a second before the old ones go.
+func (s *starvedTest) replaceCaches(caches int, addresses []string) {
 	ticker := time.NewTicker(releaseInterval)
 	defer ticker.Stop()
-	replaced := max(1, caches/releaseParts)
+	replaced := max(1, caches/releaseSteps)
 	for step := 0; ; step++ {
 		select {
 		case <-s.done:
@@ -167,7 +167,7 @@
 				changes = append(changes, endpoint{name: fmt.Sprintf("c%04d", gone%caches), state: stateTerminated, address: address})
 			}
 		}
-		s.fleet.publish(changes...)
+		s.endpoints.publish(changes...)
 	}
 }
 
@@ -190,31 +190,31 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port)
 }
 
-// play sends so many requests a second, whatever becomes of them, and returns how they were judged.
-func (s *starvedTest) play(rate int, length time.Duration) verdict {
+// sendLoad sends so many requests a second, whatever becomes of them, and returns how they were judged.
+func (s *starvedTest) sendLoad(rate int, duration time.Duration) checkResult {
 	s.t.Helper()
-	s.plays++
-	s.judge.reset()
+	s.loads++
+	s.checker.reset()
 	// The router is stopped again and again: the half second that answers may be late is what binds.
-	s.judge.stopped(0, time.Now(), time.Hour)
+	s.checker.recordStop(0, time.Now(), time.Hour)
 	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range starvedClients {
 		c := &client{
-			judge: s.judge, rng: newRand(uint64(s.plays), uint64(i)), name: fmt.Sprintf("play%d-%d", s.plays, i),
+			checker: s.checker, rng: newRand(uint64(s.loads), uint64(i)), name: fmt.Sprintf("play%d-%d", s.loads, i),
 			addr: s.router.addr, maxTimeout: starvedTimeout,
 		}
-		clients.Go(func() { s.send(c, float64(rate)/starvedClients, length) })
+		clients.Go(func() { s.sendRequests(c, float64(rate)/starvedClients, duration) })
 	}
 	clients.Wait()
 	close(done)
-	v := s.judge.verdict([]time.Time{time.Now().Add(time.Hour)})
+	v := s.checker.check([]time.Time{time.Now().Add(time.Hour)})
 	s.t.Logf("%d requests a second: %v", rate, v)
 	return v
 }
 
-// send sends reads of single keys at random times on a connection of its own.
-func (s *starvedTest) send(c *client, rate float64, length time.Duration) {
+// sendRequests sends reads of single keys at random times on a connection of its own.
+func (s *starvedTest) sendRequests(c *client, rate float64, duration time.Duration) {
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		s.t.Error(err)
@@ -224,26 +224,26 @@
 	defer session.close()
 	for at, begun := 0.0, time.Now(); ; {
 		at += c.rng.ExpFloat64() / rate
-		if at > length.Seconds() {
+		if at > duration.Seconds() {
 			break
 		}
 		time.Sleep(time.Until(begun.Add(time.Duration(at * float64(time.Second)))))
 		c.sent++
 		r := &request{id: fmt.Sprintf("%s-%d", c.name, c.sent), class: classRead, timeout: starvedTimeout}
 		r.wire = encode(r, int(c.rng.Uint32()))
-		session.noteBatch([]*request{r})
+		session.recordBatch([]*request{r})
 		if !session.writePart(r.wire) {
 			return
 		}
-		c.judge.wrote([]*request{r})
+		c.checker.recordWritten([]*request{r})
 	}
 	session.awaitAnswers(0)
 }
 
-func (s *starvedTest) wantNoViolation(v verdict) {
+func (s *starvedTest) wantNoViolation(v checkResult) {
 	s.t.Helper()
-	if v.left > 0 {
-		s.t.Errorf("broken rule: %d requests were not answered within %v of their time", v.left, answerWait)
+	if v.abandoned > 0 {
+		s.t.Errorf("broken rule: %d requests were not answered within %v of their time", v.abandoned, answerWait)
 	}
 	for _, violation := range v.violations[:min(len(v.violations), maxReported)] {
 		s.t.Error("broken rule: " + violation)
--- a/internal/soaktest/stopped_test.go
+++ b/internal/soaktest/stopped_test.go
@@ -22,9 +22,9 @@
 // below without TCP_INFO fails unless the router bounds the arrival by the stalls that it notes itself.
 func TestDeadlineCountsWhileStopped(t *testing.T) {
 	program := buildRouter(t)
-	for name, untold := range map[string]bool{"with TCP_INFO": false, "without TCP_INFO": true} {
+	for name, noTCPInfo := range map[string]bool{"with TCP_INFO": false, "without TCP_INFO": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newStoppedTest(t, program, untold)
+			s := newStoppedTest(t, program, noTCPInfo)
 			s.request(0)
 			s.request(stoppedTime)
 			s.wantNoViolation()
@@ -36,9 +36,9 @@
 // request of a connection that is opened during the stall.
 func TestDeadlineOfNewConnectionCountsWhileStopped(t *testing.T) {
 	program := buildRouter(t)
-	for name, untold := range map[string]bool{"with TCP_INFO": false, "without TCP_INFO": true} {
+	for name, noTCPInfo := range map[string]bool{"with TCP_INFO": false, "without TCP_INFO": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newStoppedTest(t, program, untold)
+			s := newStoppedTest(t, program, noTCPInfo)
 			s.request(0)
 			stopProcess(t, s.router)
 			s.connect()
@@ -55,24 +55,24 @@
 
 // stoppedTest is a router process that is stopped and continued, and a client.
 type stoppedTest struct {
-	t      *testing.T
-	judge  *judge
-	router *routerProcess
-	client *client
+	t       *testing.T
+	checker *checker
+	router  *routerProcess
+	client  *client
 	*session
 }
 
-func newStoppedTest(t *testing.T, program string, untoldArrivals bool) *stoppedTest {
+func newStoppedTest(t *testing.T, program string, noTCPInfo bool) *stoppedTest {
 	t.Helper()
-	j := newJudge()
+	ck := newChecker()
 	p := plan{
-		seed: 1, longestTimeout: stoppedTimeout, routers: 1, descriptors: manyDescriptors, warmupTime: usualWarmupTime,
-		maxServiceTime: maxServiceTime, untoldArrivals: untoldArrivals,
+		seed: 1, longestTimeout: stoppedTimeout, routers: 1, descriptors: manyDescriptors, warmupTime: defaultWarmupTime,
+		maxServiceTime: maxServiceTime, noTCPInfo: noTCPInfo,
 	}
-	fleet := newFleet(startCache(t, "c0", j, &p, 0).endpoint())
-	router := startRouter(t, program, "n0", &p, startDiscovery(t, fleet).addr(), fleet)
-	s := &stoppedTest{t: t, judge: j, router: router}
-	s.client = &client{judge: j, rng: newRand(1, 1), name: "client", addr: router.addr, maxTimeout: stoppedTimeout}
+	endpoints := newEndpointList(startCache(t, "c0", ck, &p, 0).endpoint())
+	router := startRouter(t, program, "n0", &p, startDiscovery(t, endpoints).addr(), endpoints)
+	s := &stoppedTest{t: t, checker: ck, router: router}
+	s.client = &client{checker: ck, rng: newRand(1, 1), name: "client", addr: router.addr, maxTimeout: stoppedTimeout}
 	s.connect()
 	return s
 }
@@ -97,11 +97,11 @@
 	if stop > 0 {
 		stopProcess(s.t, s.router)
 	}
-	s.noteBatch([]*request{r})
+	s.recordBatch([]*request{r})
 	if !s.writePart(r.wire) {
 		s.t.Fatal("the connection has ended")
 	}
-	s.judge.wrote([]*request{r})
+	s.checker.recordWritten([]*request{r})
 	if stop > 0 {
 		time.Sleep(stop)
 		signalProcess(s.t, s.router, syscall.SIGCONT)
@@ -113,7 +113,7 @@
 
 func (s *stoppedTest) wantNoViolation() {
 	s.t.Helper()
-	for _, violation := range s.judge.verdict([]time.Time{time.Now().Add(time.Hour)}).violations {
+	for _, violation := range s.checker.check([]time.Time{time.Now().Add(time.Hour)}).violations {
 		s.t.Error("broken rule: " + violation)
 	}
 }
--- a/internal/soaktest/throttle_test.go
+++ b/internal/soaktest/throttle_test.go
@@ -22,7 +22,7 @@
 	ticker := time.NewTicker(throttleInterval)
 	defer ticker.Stop()
 	used, last := processorTime(process), time.Now()
-	saved := time.Duration(0)
+	budget := time.Duration(0)
 	for stopped := false; ; {
 		select {
 		case <-done:
@@ -30,10 +30,10 @@
 		case <-ticker.C:
 		}
 		now, nowUsed := time.Now(), processorTime(process)
-		saved += time.Duration(share*float64(now.Sub(last))) - (nowUsed - used)
-		saved = min(saved, throttleBurst)
+		budget += time.Duration(share*float64(now.Sub(last))) - (nowUsed - used)
+		budget = min(budget, throttleBurst)
 		used, last = nowUsed, now
-		if stop := saved < 0; stop != stopped {
+		if stop := budget < 0; stop != stopped {
 			stopped = stop
 			signal := syscall.SIGCONT
 			if stop {
@@ -65,7 +65,7 @@
 func TestThrottle(t *testing.T) {
 	const (
 		share    = 0.1
-		playTime = time.Second
+		busyTime = time.Second
 	)
 	busy, err := os.StartProcess("/bin/sh", []string{"sh", "-c", "while :; do :; done"}, &os.ProcAttr{
 		Sys: &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL},
@@ -79,9 +79,9 @@
 	}()
 	done := make(chan struct{})
 	before := processorTime(busy.Pid)
-	time.AfterFunc(playTime, func() { close(done) })
+	time.AfterFunc(busyTime, func() { close(done) })
 	throttle(busy.Pid, share, done)
-	if used := processorTime(busy.Pid) - before; used > 2*time.Duration(share*float64(playTime)) || used == 0 {
-		t.Errorf("used %v of processor time in %v at a share of %v", used, playTime, share)
+	if used := processorTime(busy.Pid) - before; used > 2*time.Duration(share*float64(busyTime)) || used == 0 {
+		t.Errorf("used %v of processor time in %v at a share of %v", used, busyTime, share)
 	}
 }
--- a/internal/soaktest/unread_test.go
+++ b/internal/soaktest/unread_test.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// unreadBy returns how many bytes have arrived on the router's side of a connection that the router
+// unreadBytes returns how many bytes have arrived on the router's side of a connection that the router
 // has not read. It reports false if that side is not there any more, or if it is closed on both sides,
 // as what was left unread is not known of it then.
-func unreadBy(router, client net.Addr) (unread int64, ok bool) {
+func unreadBytes(router, client net.Addr) (unread int64, ok bool) {
 	s, err := netlink.SocketGet(router, client)
 	if err != nil || s.State == netlink.TCP_TIME_WAIT {
 		return 0, false
@@ -19,9 +19,9 @@
 	return int64(s.RQueue), true
 }
 
-// undeliveredBy returns how many of the bytes that were written to a connection have not arrived at the
+// undeliveredBytes returns how many of the bytes that were written to a connection have not arrived at the
 // peer's machine, as its receive window is full. It reports false if that can't be told.
-func undeliveredBy(nc *net.TCPConn) (undelivered int64, ok bool) {
+func undeliveredBytes(nc *net.TCPConn) (undelivered int64, ok bool) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		return 0, false
