--- a/internal/faulttest/faulttest.go
+++ b/internal/faulttest/faulttest.go
@@ -1,5 +1,5 @@
-// Package faulttest holds what the tests share that judge a router under faults: reading a client's
-// side of the wire, and allowing for times in which the machine holds up the test itself.
+// Package faulttest contains helpers of the tests that check a router under fault injection: reading answers
+// on a client's connection, and detecting stalls of the test process itself.
 package faulttest
 
 import (
@@ -12,15 +12,16 @@
 )
 
 const (
-	stallInterval = 5 * time.Millisecond  // between looks at the clock
-	minStall      = 30 * time.Millisecond // between two looks that counts
+	stallInterval = 5 * time.Millisecond  // between readings of the clock
+	minStall      = 30 * time.Millisecond // shortest gap between two readings that counts as a stall
 )
 
-// ErrNoAnswer reports bytes that are neither a bulk string nor a line.
+// ErrNoAnswer is returned for input that is neither a bulk string nor a status or error line.
 var ErrNoAnswer = errors.New("neither a bulk string nor a line")
 
-// ReadAnswer reads one answer of a router. It returns the answer, a bulk string without its frame, and
-// its size in bytes on the wire. It fails with ErrNoAnswer or an error of the reader.
+// ReadAnswer reads one answer of a router. It returns the content of a bulk string, or a status or error line
+// without its line ending, and the size of the answer on the wire in bytes. The error is ErrNoAnswer or that
+// of the reader.
 func ReadAnswer(reader *bufio.Reader) (answer string, size int, err error) {
 	line, err := reader.ReadString('\n')
 	if err != nil {
@@ -44,8 +45,7 @@
 	return string(bulk[:length]), len(line) + len(bulk), nil
 }
 
-// ToldTimeout returns the timeout among the options of a command that reached a cache; -1 if there is
-// none.
+// ToldTimeout returns the timeout in the options of a command that a cache received, or -1 if there is none.
 func ToldTimeout(options string) time.Duration {
 	for option := range strings.SplitSeq(options, ",") {
 		if value, ok := strings.CutPrefix(option, "d="); ok {
@@ -58,8 +58,8 @@
 	return -1
 }
 
-// WatchStalls calls note with each time in which the machine has kept the process from running, until
-// done is closed.
+// WatchStalls calls note with the length of each interval in which the process did not run, until done is
+// closed.
 func WatchStalls(done <-chan struct{}, note func(time.Duration)) {
 	ticker := time.NewTicker(stallInterval)
 	defer ticker.Stop()
--- a/internal/faulttest/faulttest_test.go
+++ b/internal/faulttest/faulttest_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestReadAnswer checks that an answer is only taken for one when it is complete.
+// TestReadAnswer checks that ReadAnswer accepts complete answers only.
 func TestReadAnswer(t *testing.T) {
 	for wire, want := range map[string]string{"$3\r\nabc\r\n": "abc", "-BUSY 5\r\n": "-BUSY 5", "+PONG\r\n": "+PONG"} {
 		got, size, err := ReadAnswer(bufio.NewReader(strings.NewReader(wire + "more")))
--- a/internal/soaktest/cache_test.go
+++ b/internal/soaktest/cache_test.go
@@ -18,49 +18,49 @@
 )
 
 const (
-	maxIdleFaultDelay   = 60 * time.Millisecond // from a reply to what a cache does with the idle connection
-	endlessReplyPieces  = 400                   // of a reply that does not end while any client waits for it
-	maxServiceTime      = 15 * time.Millisecond // of a request that is served at once
-	maxHang             = 4 * time.Second       // of a request that hangs
-	secondReplyDelay    = 6 * time.Millisecond  // between a reply and another one to the same request
-	maxSecondReplyDelay = 9 * time.Millisecond  // beyond which, on a busy machine, the other one is left out
+	maxIdleFaultDelay   = 60 * time.Millisecond // from a reply to a fault of the idle connection
+	endlessReplyPieces  = 400                   // sent of a reply that is never complete
+	maxServiceTime      = 15 * time.Millisecond // of a request that is served without a fault
+	maxHang             = 4 * time.Second       // after which the connection of a request that hangs is closed
+	secondReplyDelay    = 6 * time.Millisecond  // between a reply and a second reply to the same request
+	maxSecondReplyDelay = 9 * time.Millisecond  // if a busy machine delays it further, the second reply is omitted
 	largeValueSuffix    = "00"                  // of the ids of requests whose values are large
 	largeValueSize      = 50_000
 	pieceInterval       = 2 * time.Millisecond // between the pieces of a reply
 )
 
-// cacheFault is what a cache does with a request instead of serving it at once.
+// cacheFault is a fault in the handling of a request by a cache.
 type cacheFault int
 
 const (
-	faultHang cacheFault = iota
-	faultReset
-	faultError
-	faultBusy
-	faultFragments
-	faultSecondReply
-	faultEndlessReply    // a reply goes on and on
-	faultCloseIdle       // the connection ends some time after the reply, ...
-	faultResetIdle       // ... by a reset
-	faultUnsolicitedLine // a line that nobody asked for comes some time after the reply
-	faultIgnoreNext      // the next request on the connection meets silence
-	cacheFaultCount      // the number of faults
+	faultHang            cacheFault = iota // no reply
+	faultReset                             // the connection is reset without a reply
+	faultError                             // an error reply
+	faultBusy                              // a rejection
+	faultFragments                         // the reply is written in several pieces
+	faultSecondReply                       // the reply is sent twice
+	faultEndlessReply                      // the reply is never complete
+	faultCloseIdle                         // the connection is closed some time after the reply
+	faultResetIdle                         // the connection is reset some time after the reply
+	faultUnsolicitedLine                   // an unsolicited line is sent some time after the reply
+	faultIgnoreNext                        // later requests on the connection get no reply
+	cacheFaultCount                        // the number of faults
 )
 
-// cache is a cache server. It replies to each request with a value that names the request.
+// cache is a test cache server. It replies to each request with a value that contains the request id.
 type cache struct {
 	name    string
 	checker *checker
 	plan    *plan
-	// handle replies to a request instead, if it is not nil, and reports whether the connection goes on.
+	// handle, if not nil, replies to requests in place of reply, and reports whether the connection stays open.
 	handle func(nc *net.TCPConn, id string) bool
-	hung   atomic.Bool // it replies to nothing more
+	hung   atomic.Bool // it no longer replies
 
 	mu       sync.Mutex
 	rng      *rand.Rand
 	listener net.Listener
 	conns    map[*net.TCPConn]struct{}
-	since    time.Time // when it was restarted; zero for long ago
+	since    time.Time // when it was restarted; zero if it was not
 }
 
 func startCache(t *testing.T, name string, ck *checker, p *plan, part uint64) *cache {
@@ -94,25 +94,25 @@
 	return nil
 }
 
-// endpoint returns the cache's entry in the endpoint list, in service.
+// endpoint returns the cache's entry in the endpoint list, with stateInService.
 func (c *cache) endpoint() endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return endpoint{name: c.name, address: c.listener.Addr().String(), state: stateInService, since: c.since}
 }
 
-// kill ends the cache's listener and resets its connections, as the end of its process does.
+// kill closes the cache's listener and resets its connections, as the end of its process would.
 func (c *cache) kill() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.listener.Close() // it may have vanished before
+	_ = c.listener.Close() // fails only if it is closed already
 	for nc := range c.conns {
 		_ = nc.SetLinger(0) // fails only on a closed connection
 		_ = nc.Close()
 	}
 }
 
-// restart ends the cache and starts it at an address, after some time.
+// restart kills the cache and starts it at an address after downTime.
 func (c *cache) restart(addr string, downTime time.Duration) error {
 	c.kill()
 	time.Sleep(downTime)
@@ -122,7 +122,7 @@
 	return c.listen(addr)
 }
 
-// track notes a connection until it has ended.
+// track adds an open connection to conns, or removes and closes it.
 func (c *cache) track(nc *net.TCPConn, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,7 +131,7 @@
 		return
 	}
 	delete(c.conns, nc)
-	_ = nc.Close() // it may have been reset
+	_ = nc.Close() // fails only if it is closed already
 }
 
 func (c *cache) nextFault() (fault cacheFault, faulty bool, service time.Duration) {
@@ -185,7 +185,7 @@
 	}
 }
 
-// reply replies to a request and reports whether the connection goes on.
+// reply replies to a request and reports whether the connection stays open.
 func (c *cache) reply(nc *net.TCPConn, id string, fault cacheFault, faulty bool) bool {
 	wire := servedReply(id)
 	if !faulty {
@@ -216,12 +216,12 @@
 	case faultCloseIdle, faultResetIdle, faultUnsolicitedLine, faultIgnoreNext:
 		return c.replyThenFail(nc, wire, fault)
 	case faultSecondReply:
-		begun := time.Now()
+		start := time.Now()
 		if _, err := io.WriteString(nc, wire); err != nil {
 			return false
 		}
 		time.Sleep(secondReplyDelay)
-		if time.Since(begun) > maxSecondReplyDelay {
+		if time.Since(start) > maxSecondReplyDelay {
 			return true
 		}
 	}
@@ -229,7 +229,7 @@
 	return err == nil
 }
 
-// replyEndlessly begins a reply that goes on until the router gives it up.
+// replyEndlessly writes an incomplete reply in pieces until the router closes the connection.
 func replyEndlessly(nc *net.TCPConn) bool {
 	if _, err := io.WriteString(nc, "*3\r\n$60000\r\n"); err != nil {
 		return false
@@ -243,7 +243,7 @@
 	return false
 }
 
-// replyThenFail replies, and does something with the idle connection some time later.
+// replyThenFail replies and applies a fault to the idle connection, for most faults some time later.
 func (c *cache) replyThenFail(nc *net.TCPConn, wire string, fault cacheFault) bool {
 	if _, err := io.WriteString(nc, wire); err != nil {
 		return false
@@ -253,11 +253,11 @@
 	c.mu.Unlock()
 	switch fault {
 	case faultIgnoreNext:
-		_, _ = io.Copy(io.Discard, nc) // until the router gives the connection up
+		_, _ = io.Copy(io.Discard, nc) // until the router closes the connection
 		return false
 	case faultUnsolicitedLine:
 		time.Sleep(delay)
-		_, _ = io.WriteString(nc, "-ERR closing\r\n") // it may have ended
+		_, _ = io.WriteString(nc, "-ERR closing\r\n") // the router may have closed it
 	case faultResetIdle:
 		time.Sleep(delay)
 		_ = nc.SetLinger(0) // fails only on a connection that is closed
@@ -267,13 +267,13 @@
 	return false
 }
 
-// servedReply is the reply of a cache that serves a request.
+// servedReply returns the encoded reply of a cache that serves a request.
 func servedReply(id string) string {
 	value := servedValue(id)
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
 }
 
-// servedValue is the value of the reply to a request. A few are large.
+// servedValue returns the value of the reply to a request. A few values are large.
 func servedValue(id string) string {
 	value := "value-of-" + id
 	if strings.HasSuffix(id, largeValueSuffix) {
--- a/internal/soaktest/checker_test.go
+++ b/internal/soaktest/checker_test.go
@@ -8,18 +8,20 @@
 	"time"
 )
 
-// Limits of the rules, and what is added to them for the test's own machine.
+// Limits of the rules, and the slack that allows for delays of the test machine.
 const (
-	lateAnswerLimit       = 500 * time.Millisecond // of an answer after the client's timeout
-	disconnectLimit       = 100 * time.Millisecond // after a client's end, in which an attempt may still begin
-	excessTimeoutLimit    = 150 * time.Millisecond // by which the timeout told to a cache may exceed what is left
-	keyTTL                = 600 * time.Millisecond // in which a request may be repeated with its key
-	machineSlack          = 100 * time.Millisecond
-	giveUpDelay           = 60 * time.Millisecond // after its timeout, for which a client waits
-	giveUpSlack           = 40 * time.Millisecond // added for the test's own machine
-	requestsPerLateAnswer = 500                   // requests of a router, one of which may be answered later without a stall
-	drainGrace            = time.Second           // after a router was notified that a cache drains
-	killSlack             = 5 * time.Millisecond  // before SIGKILL, in which an end of a connection counts as caused by it
+	lateAnswerLimit    = 500 * time.Millisecond // delay of an answer after the request's timeout
+	disconnectLimit    = 100 * time.Millisecond // delay of an attempt after the client's disconnect
+	excessTimeoutLimit = 150 * time.Millisecond // excess of the timeout sent to a cache over the remaining time
+	keyTTL             = 600 * time.Millisecond // delay of a repetition with an idempotency key
+	machineSlack       = 100 * time.Millisecond // added to the other limits for delays of the test machine
+
+	giveUpDelay           = 60 * time.Millisecond // after the request's timeout, when a client gives up
+	giveUpSlack           = 40 * time.Millisecond // added to giveUpDelay for delays of the test machine
+	requestsPerLateAnswer = 500                   // see checkLateAnswers
+
+	drainGrace = time.Second          // delay of an attempt after the router was notified of a drain
+	killSlack  = 5 * time.Millisecond // a connection that ends so shortly before SIGKILL counts as ended by it
 )
 
 // Classes of requests.
@@ -29,24 +31,25 @@
 	classOnce = "once" // must not run twice
 )
 
-// checker notes what clients and caches see and finds the requests that broke a rule.
+// checker records what clients and caches observe and finds the requests that broke a rule. An answer goes from
+// a router to a client, a reply from a cache to a router.
 type checker struct {
 	mu            sync.Mutex
 	requests      map[string]*request
 	connections   []*connection
 	attempts      []attempt
-	stalled       time.Duration // for which the test itself was stalled
+	stalled       time.Duration // total time for which the test process was stalled
 	drainNotified map[routerCache]time.Time
 	stops         []stopInterval
 }
 
-// routerCache is what a router was notified of: that a cache drains or has ended.
+// routerCache identifies a cache as seen by one router.
 type routerCache struct {
 	router int
 	cache  string
 }
 
-// stopInterval is a time in which a router was stopped.
+// stopInterval is an interval in which a router was stopped.
 type stopInterval struct {
 	router   int
 	from, to time.Time
@@ -57,36 +60,36 @@
 	id                     string
 	class                  string
 	timeout                time.Duration
-	large                  bool // it has a large value, if it has one
+	large                  bool // its value is large; used for classPut only
 	wire                   []byte
-	startOffset, endOffset int64     // its bytes among those of its connection
-	writtenAt              time.Time // zero unless the last byte was written
+	startOffset, endOffset int64     // offsets of its bytes in the stream of the connection
+	writtenAt              time.Time // zero if the last byte was not written
 	connection             *connection
 	position               int // among the requests of the connection
 }
 
-// connection is a client's connection to a router, as the judge sees it.
+// connection is what the checker has recorded of a client's connection to a router.
 type connection struct {
 	router         int
 	slow           bool // the client reads slowly
 	requests       []*request
 	answers        []answer
-	requestBytes   int64     // bytes of the requests, written or about to be
-	clientClosedAt time.Time // when the client ended it; zero if it did not
-	routerClosedAt time.Time // when its end came from the router; zero if it did not
+	requestBytes   int64     // bytes of all requests, written or about to be written
+	clientClosedAt time.Time // when the client closed it; zero if it did not
+	routerClosedAt time.Time // when the client received its end from the router; zero if it did not
 	fullyRead      bool      // the client has read all that the router sent
-	bytesRead      int64     // bytes that the router has read of it, or unknownRead
+	bytesRead      int64     // bytes that the router has read, or unknownBytesRead
 }
 
 const unknownBytesRead = -1
 
-// answer is a complete answer.
+// answer is a complete answer that a client received.
 type answer struct {
 	wire string
 	at   time.Time
 }
 
-// attempt is a complete command that reached a cache.
+// attempt is a complete command that a cache received.
 type attempt struct {
 	id       string
 	cache    string
@@ -99,14 +102,15 @@
 	return &checker{requests: map[string]*request{}, drainNotified: map[routerCache]time.Time{}}
 }
 
-// reset forgets all requests. What is still on its way must not belong to one of them.
+// reset discards all requests. None of them may be outstanding: an attempt that arrives later is reported as an
+// attempt of an unknown request.
 func (ck *checker) reset() {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
 	ck.requests, ck.connections, ck.attempts = map[string]*request{}, nil, nil
 }
 
-// recordNotified notes that an entry of the endpoint list is about to be written to a router.
+// recordNotified records that an entry of the endpoint list is about to be sent to a router.
 func (ck *checker) recordNotified(router int, e endpoint) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -116,22 +120,22 @@
 	}
 }
 
-// recordStop notes that a router is about to be recordStop.
+// recordStop records that a router is about to be stopped.
 func (ck *checker) recordStop(router int, from time.Time, length time.Duration) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
 	ck.stops = append(ck.stops, stopInterval{router, from, from.Add(length)})
 }
 
-// wasStopped reports whether a router was stopped at some time of an interval.
+// wasStopped reports whether a router was stopped during a part of an interval.
 func (ck *checker) wasStopped(router int, from, to time.Time) bool {
 	return slices.ContainsFunc(ck.stops, func(s stopInterval) bool {
 		return s.router == router && s.from.Before(to) && from.Before(s.to.Add(giveUpSlack))
 	})
 }
 
-// addConnection notes a client's connection to a router. Of a client that reads slowly it is not judged how
-// late its answers are.
+// addConnection records a client's connection to a router. Late answers to a client that reads slowly are not
+// reported.
 func (ck *checker) addConnection(router int, slow bool) *connection {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -140,7 +144,7 @@
 	return c
 }
 
-// addRequest notes requests that are about to be written to a connection.
+// addRequest records a request that is about to be written to a connection.
 func (ck *checker) addRequest(c *connection, r *request) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -166,8 +170,8 @@
 	c.answers = append(c.answers, answer{wire, time.Now()})
 }
 
-// recordClientClose notes that the client is about to end its connection. It may have received the router's end
-// already, and then gives up the answers before it that it has not read.
+// recordClientClose records that the client is about to close its connection. If the router has closed the
+// connection already, the client abandons the answers that it has not read.
 func (ck *checker) recordClientClose(c *connection) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -176,14 +180,14 @@
 	}
 }
 
-// recordFullyRead notes that the client has read all that the router sent.
+// recordFullyRead records that the client has read everything that the router sent.
 func (ck *checker) recordFullyRead(c *connection) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
 	c.fullyRead = true
 }
 
-// recordRouterClose notes that the end of a connection came from the router.
+// recordRouterClose records that the router has ended a connection, unless the client closed it first.
 func (ck *checker) recordRouterClose(c *connection) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -192,7 +196,7 @@
 	}
 }
 
-// recordBytesRead notes how many bytes of a connection the router has read by now.
+// recordBytesRead records how many bytes of a connection the router has read so far.
 func (ck *checker) recordBytesRead(c *connection, read int64) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -211,12 +215,12 @@
 	ck.stalled += d
 }
 
-// checkResult is what a play came to.
+// checkResult is the result of checking all requests.
 type checkResult struct {
 	violations                  []string
 	served, busy, failed        int
-	unknown                     int // requests without an answer, of which it is not known whether they were read
-	requests, unread, abandoned int // of the requests, those not read at the end, and those whose client left
+	unknown                     int // requests without an answer of which it is unknown whether the router read them
+	requests, unread, abandoned int // all, not read by the router, abandoned by the client
 }
 
 func (v checkResult) String() string {
@@ -224,7 +228,7 @@
 		v.requests, v.served, v.busy, v.failed, v.unread, v.abandoned, v.unknown, len(v.violations))
 }
 
-// check judges all requests. killed is when each router got SIGKILL.
+// check checks all requests. killed contains the time at which each router was sent SIGKILL.
 func (ck *checker) check(killed []time.Time) (v checkResult) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
@@ -275,8 +279,8 @@
 	}
 }
 
-// checkLateAnswers reports a router that has answered more than one in so many requests after their clients
-// would have given up, though it was not stopped just then.
+// checkLateAnswers reports a router if it answered more than 1 + n/requestsPerLateAnswer of n requests after their
+// clients would have given up. Answers that are late because the router was stopped do not count.
 func (ck *checker) checkLateAnswers(v *checkResult) {
 	requests, lateRequests := map[int]int{}, map[int][]*request{}
 	for _, c := range ck.connections {
@@ -302,7 +306,7 @@
 	}
 }
 
-// checkAnswer judges an answer. The time spent waiting for the answer before it does not count.
+// checkAnswer checks an answer. The time spent waiting for the preceding answer does not count.
 func (ck *checker) checkAnswer(v *checkResult, r *request, a answer, previous time.Time) {
 	switch {
 	case strings.HasPrefix(a.wire, "-BUSY"):
--- a/internal/soaktest/client_test.go
+++ b/internal/soaktest/client_test.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	maxPipeline        = 60
-	maxOutstanding     = 400                    // requests of a client that sends without waiting
-	slowOutstanding    = 40                     // of one that reads slowly, which would else still read after SIGKILL
-	maxPause           = 150 * time.Millisecond // between the requests of a client
-	maxSplitPause      = 200 * time.Millisecond // in the middle of a command
-	setValueSize       = 3000
-	largeSetValueSize  = 60_000 // of a few values
-	largeShare         = 0.02   // of the requests with a value
-	slowWriteShare     = 0.05   // of the batches that are written in many parts
-	slowWriteSplits    = 20     // in such a batch
+	maxPipeline        = 60                     // requests in a batch
+	maxOutstanding     = 400                    // requests of a client that sends without waiting for answers
+	slowOutstanding    = 40                     // the same for slow readers; with more they would read past SIGKILL
+	maxPause           = 150 * time.Millisecond // between the batches of a client
+	maxSplitPause      = 200 * time.Millisecond // in the middle of a command, for all splits of a batch together
+	setValueSize       = 3000                   // of a value that is stored
+	largeSetValueSize  = 60_000                 // of a few values that are stored
+	largeShare         = 0.02                   // of the stored values that are large
+	slowWriteShare     = 0.05                   // of the batches that are written in many parts
+	slowWriteSplits    = 20                     // of such a batch
 	keyCount           = 50
-	answerWait         = 2 * time.Second       // beyond the timeout, after which no answer is expected any more
-	redialInterval     = 5 * time.Millisecond  // after a connection could not be opened
-	unreadPollInterval = 30 * time.Millisecond // between looks at what a router has left unread
-	hangupPollTimeout  = 20 * time.Millisecond // for which the end of a connection is awaited at a time
+	answerWait         = 2 * time.Second       // after the last timeout, in which answers are awaited
+	redialInterval     = 5 * time.Millisecond  // after a failed attempt to connect
+	unreadPollInterval = 30 * time.Millisecond // between queries of what a router has left unread
+	hangupPollTimeout  = 20 * time.Millisecond // of each wait for the end of a connection
 	unreadPolls        = 3
-	slowReadTime       = time.Millisecond // at most, that a slow client takes to read an answer
-	slowShare          = 0.2              // of the clients
-	disconnectShare    = 0.05             // of the batches that a client leaves over
-	splitShare         = 0.3              // of the batches that are cut in the middle of a command
+	slowReadTime       = time.Millisecond // pause of a slow client after each answer
+	slowShare          = 0.2              // of the clients that read slowly
+	disconnectShare    = 0.05             // of the batches after which a client disconnects without waiting
+	splitShare         = 0.3              // of the batches that are written in parts, including slowWriteShare
 	shortTimeoutShare  = 0.05             // of the requests with a short timeout
 	maxShortTimeout    = 60 * time.Millisecond
 	writeClassShare    = 0.3 // of the requests that are writes
 )
 
-// client uses a router by one connection after the other until the router is gone.
+// client sends requests to a router, over one connection at a time, until the router terminates.
 type client struct {
 	checker      *checker
 	rng          *rand.Rand
@@ -47,14 +47,14 @@
 	router       int
 	addr         string
 	maxTimeout   time.Duration
-	routerExited <-chan struct{} // closed when the router has ended
-	terminated   <-chan struct{} // closed when the router has got SIGTERM and takes no more connections
+	routerExited <-chan struct{} // closed when the router was sent SIGKILL
+	terminated   <-chan struct{} // closed connectWindow after SIGTERM
 	slow         bool            // it reads slowly
-	floodShare   float64         // of the batches that it replaces by a flood behind which it leaves
+	floodShare   float64         // share of the batches that are preceded by a flood, see floodAndDisconnect
 	sent         int
 }
 
-// run uses the router until it is gone.
+// run opens connections and sends requests until the router terminates.
 func (c *client) run() {
 	for !isClosed(c.routerExited) && !isClosed(c.terminated) {
 		nc, err := net.Dial("tcp", c.addr)
@@ -66,7 +66,7 @@
 	}
 }
 
-// sendBatches sends batches on a connection until that ends.
+// sendBatches sends batches on a connection until it ends.
 func (c *client) sendBatches(s *session) {
 	defer s.close()
 	for !s.hasEnded() {
@@ -86,11 +86,11 @@
 			time.Sleep(randomDuration(c.rng, 0, maxPause/10))
 			c.checker.recordClientClose(s.connection)
 			if c.rng.IntN(2) == 0 {
-				_ = s.nc.SetLinger(0) // a reset; fails only if the connection has ended
+				_ = s.nc.SetLinger(0) // Close then resets the connection; fails only if it is closed already
 			}
 			return
 		}
-		// After SIGTERM clients send on and on, without waiting for each batch.
+		// After SIGTERM clients keep sending without waiting for the answers to each batch.
 		unanswered := 0
 		if isClosed(c.terminated) {
 			unanswered = c.maxOutstanding()
@@ -104,7 +104,7 @@
 	}
 }
 
-// maxOutstanding returns how many requests the client may have unanswered where it sends on and on.
+// maxOutstanding returns how many requests the client may have outstanding when it sends without waiting.
 func (c *client) maxOutstanding() int {
 	if c.slow {
 		return slowOutstanding
@@ -112,7 +112,7 @@
 	return maxOutstanding
 }
 
-// newBatch makes requests to be written at once.
+// newBatch returns requests that are to be written together.
 func (c *client) newBatch(size int) (batch []*request) {
 	for range size {
 		c.sent++
@@ -134,7 +134,7 @@
 	return batch
 }
 
-// encode returns a request as it is written.
+// encode returns the wire format of a request.
 func encode(r *request, key int) []byte {
 	options := fmt.Sprintf("c=%s,d=%d", r.class, r.timeout.Milliseconds())
 	words := []string{resp.VerbGet, fmt.Sprint("key-", key), r.id, options}
@@ -158,16 +158,16 @@
 	client     *client
 	nc         *net.TCPConn
 	connection *connection
-	ended      chan struct{} // closed when nothing more is received
-	progress   chan struct{} // receives when an answer has come
+	ended      chan struct{} // closed when the connection has ended and all answers are read
+	progress   chan struct{} // signals that an answer was received
 
 	endOnce sync.Once
 
 	writing     sync.Mutex // held during each write
-	writeClosed bool       // nothing more is written; guarded by writing
+	writeClosed bool       // no more writes are allowed; guarded by writing
 	sentBytes   int64      // guarded by writing
 	mu          sync.Mutex
-	written     int // requests
+	written     int // requests written or about to be written
 	answered    int
 	lastDue     time.Time
 }
@@ -187,15 +187,16 @@
 
 func (s *session) hasEnded() bool { return isClosed(s.ended) }
 
-// close closes the connection. What the router has left unread was looked at before.
+// close closes the connection and waits until its reader has ended. If the router ended the connection, the
+// bytes that it left unread have been recorded before.
 func (s *session) close() {
 	s.client.checker.recordClientClose(s.connection)
 	_ = s.nc.Close() // it may have ended
 	<-s.ended
 }
 
-// write writes a batch, some batches in parts with pauses in the middle of a command. It reports false if
-// the connection has ended before the batch was written.
+// write writes a batch; some batches are split in the middle of a command, with a pause after each part. It
+// reports false if the connection ended before the batch was written.
 func (s *session) write(batch []*request) bool {
 	rng := s.client.rng
 	var wire []byte
@@ -227,7 +228,7 @@
 	return true
 }
 
-// pause waits for some time and reports whether the connection is still open.
+// pause waits for a duration and reports whether the connection is still open.
 func (s *session) pause(length time.Duration) bool {
 	select {
 	case <-time.After(length):
@@ -237,14 +238,14 @@
 	}
 }
 
-// isWriteClosed reports whether nothing more may be written.
+// isWriteClosed reports whether no more writes are allowed.
 func (s *session) isWriteClosed() bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	return s.writeClosed
 }
 
-// recordBatch tells the judge of a batch before it is written.
+// recordBatch adds a batch to the checker before it is written.
 func (s *session) recordBatch(batch []*request) {
 	for _, r := range batch {
 		s.client.checker.addRequest(s.connection, r)
@@ -266,8 +267,8 @@
 	return err == nil
 }
 
-// awaitAnswers waits until at most the given number of requests have no answer. It reports false if
-// the connection ended before, or no answer can come any more.
+// awaitAnswers waits until at most the given number of requests are unanswered. It reports false if the
+// connection ends before that, or if answerWait has passed since the last timeout.
 func (s *session) awaitAnswers(unanswered int) bool {
 	for {
 		s.mu.Lock()
@@ -287,7 +288,7 @@
 	}
 }
 
-// readAnswers reports answers to the judge until the connection ends.
+// readAnswers records answers until the connection ends.
 func (s *session) readAnswers() {
 	defer close(s.ended)
 	reader := bufio.NewReader(s.nc)
@@ -312,8 +313,8 @@
 	}
 }
 
-// awaitEnd notes the end of the connection when it arrives, before a slow client has read all that
-// precedes it.
+// awaitEnd records the end of the connection when it arrives. A slow client may not have read all answers before
+// it by then.
 func (s *session) awaitEnd() {
 	for !s.hasEnded() {
 		if awaitHangup(s.nc, hangupPollTimeout) {
@@ -323,22 +324,22 @@
 	}
 }
 
-// handleRouterClose notes that the connection has ended, and looks at what the router has left unread for
-// as long as its side of the connection is there.
+// handleRouterClose records, once, that the router has ended the connection and how many bytes it has read.
 func (s *session) handleRouterClose() { s.endOnce.Do(s.recordEnd) }
 
 func (s *session) recordEnd() {
 	s.client.checker.recordRouterClose(s.connection)
-	_ = s.nc.SetWriteDeadline(time.Now()) // ends a write that the router does not read any more
+	_ = s.nc.SetWriteDeadline(time.Now()) // interrupts a write that is blocked because the router no longer reads
 	s.writing.Lock()
 	s.writeClosed = true
 	sent := s.sentBytes
 	s.writing.Unlock()
 	for range unreadPolls {
-		// This look comes first: what is on its way between the two must not count as read.
+		// undelivered is queried before unread: bytes that arrive between the two queries are then counted in
+		// both and do not count as read.
 		undelivered, known := undeliveredBytes(s.nc)
 		unread, ok := unreadBytes(s.nc.RemoteAddr(), s.nc.LocalAddr())
-		if known && ok { // a look may miss a socket while the list of sockets changes
+		if known && ok { // the query may miss a socket while the list of sockets changes
 			s.client.checker.recordBytesRead(s.connection, sent-undelivered-unread)
 		}
 		time.Sleep(unreadPollInterval)
--- a/internal/soaktest/discovery_test.go
+++ b/internal/soaktest/discovery_test.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	watchTimeout   = 500 * time.Millisecond // after which a watch without news is answered
-	slowReplyParts = 5                      // in a reply that comes slowly
-	slowReplyPause = 40 * time.Millisecond
+	watchTimeout   = 500 * time.Millisecond // after which a watch is answered without changes
+	slowReplyParts = 5                      // of a reply that is sent slowly
+	slowReplyPause = 40 * time.Millisecond  // after each part
 )
 
-// discoveryFault is what a discovery service does with a reply instead of sending it at once.
+// discoveryFault is a fault in a reply of a discovery service.
 type discoveryFault int
 
 const (
-	discoverySilent   discoveryFault = iota // it never comes
-	discoveryReset                          // it is broken off by a reset
-	discoveryNoLength                       // it has no length, and the connection ends behind it
-	discoverySlow
-	discoveryFaultCount // the number of faults
+	discoverySilent     discoveryFault = iota // it is never sent
+	discoveryReset                            // half of it is sent, then the connection is reset
+	discoveryNoLength                         // it has no Content-Length, and the connection is closed after it
+	discoverySlow                             // it is sent in parts with pauses
+	discoveryFaultCount                       // the number of faults
 )
 
-// discovery is the discovery service of one router. While it is down it says nothing.
+// discovery is the discovery service of one router. While it is down it does not reply.
 type discovery struct {
 	server     *httptest.Server
 	endpoints  *endpointList
-	onSend     func(endpoint) // is told of each entry just before it is written
+	onSend     func(endpoint) // called with each entry just before it is sent
 	down       atomic.Bool
-	faultShare float64 // of the replies that meet a fault
+	faultShare float64 // share of the replies that have a fault
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// startDiscovery starts a service that tells of the fleet without faults.
+// startDiscovery starts a service that serves an endpoint list without faults.
 func startDiscovery(t *testing.T, endpoints *endpointList) *discovery {
 	t.Helper()
 	return startFaultyDiscovery(t, endpoints, newRand(0, 0), 0, func(endpoint) {})
@@ -96,7 +96,7 @@
 	d.reply(w, r, changes, version, false)
 }
 
-// awaitUp waits until the service is not down, and reports false if the caller has gone.
+// awaitUp waits until the service is not down. It reports false if the client disconnects before.
 func (d *discovery) awaitUp(r *http.Request) bool {
 	for d.down.Load() {
 		if !sleepUnlessGone(r, watchTimeout/10) {
@@ -106,21 +106,21 @@
 	return true
 }
 
-// reply sends entries, or what a fault makes of that.
+// reply sends entries, unless it applies a fault.
 func (d *discovery) reply(w http.ResponseWriter, r *http.Request, entries []endpoint, version int, complete bool) {
 	body := listBody(entries, version, complete)
 	fault, faulty := d.nextFault()
 	switch {
 	case !faulty:
 		d.notifySend(entries)
-		_, _ = io.WriteString(w, body) // the caller may have gone
+		_, _ = io.WriteString(w, body) // the client may have disconnected
 	case fault == discoverySilent:
 		<-r.Context().Done()
 	case fault == discoverySlow:
 		d.notifySend(entries)
 		for i := range slowReplyParts {
 			part := len(body) / slowReplyParts
-			_, _ = io.WriteString(w, body[i*part:(i+1)*part]) // the caller may have gone
+			_, _ = io.WriteString(w, body[i*part:(i+1)*part]) // the client may have disconnected
 			w.(http.Flusher).Flush()
 			if !sleepUnlessGone(r, slowReplyPause) {
 				return
@@ -132,13 +132,14 @@
 	}
 }
 
-// replyWithoutLength sends a reply that ends with its connection, or half of it and a reset.
+// replyWithoutLength sends a reply without Content-Length and closes the connection, or sends half of the reply
+// and resets the connection.
 func (d *discovery) replyWithoutLength(w http.ResponseWriter, entries []endpoint, body string, reset bool) {
 	nc, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	defer func() { _ = nc.Close() }() // the caller may have gone
+	defer func() { _ = nc.Close() }() // the client may have disconnected
 	if reset {
 		body = body[:len(body)/2]
 	} else {
@@ -165,7 +166,7 @@
 	}
 }
 
-// listBody is a list in discovery's form.
+// listBody returns the body of a reply of a discovery service.
 func listBody(entries []endpoint, version int, complete bool) string {
 	var list []string
 	for _, e := range entries {
--- a/internal/soaktest/doc.go
+++ b/internal/soaktest/doc.go
@@ -1,9 +1,9 @@
-// Package soaktest runs real router processes between clients and cache servers of its own, with
-// faults that are drawn by seed, and judges each request by what its client saw.
+// Package soaktest runs router processes between test clients and test cache servers, injects faults that are
+// generated from a seed, and checks each request by what its client observed.
 //
-// The tests are all there is to it. TestSoak plays a few fixed seeds; more are played with
+// The package consists of tests. TestSoak runs a few fixed seeds; to run others, use
 //
 //	go test ./internal/soaktest -run TestSoak -soak.first 100 -soak.seeds 50 -timeout 1h
 //
-// A failure prints the seed, what was drawn for it and each request that was lost.
+// A failure prints the seed, the plan generated from it and the requests that broke a rule.
 package soaktest
--- a/internal/soaktest/endpoint_list_test.go
+++ b/internal/soaktest/endpoint_list_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// endpointState is a state of a cache in the endpoint list.
+// endpointState is the status of a cache in the endpoint list.
 type endpointState string
 
 const (
@@ -21,7 +21,7 @@
 	name    string
 	address string
 	state   endpointState
-	since   time.Time // start of the cache; zero for long ago
+	since   time.Time // start of the cache; zero if long ago
 }
 
 func (e endpoint) String() string {
@@ -33,10 +33,10 @@
 		e.name, e.address, e.state, since)
 }
 
-// endpointList is the endpoint list that all discovery services of a play tell. Each change has a version.
+// endpointList is the endpoint list that all discovery services of a test serve. Each change has a version.
 type endpointList struct {
 	mu      sync.Mutex
-	changes []endpoint    // by version, the first of which is 1
+	changes []endpoint    // changes[i] led to version i+1
 	changed chan struct{} // closed with the next change
 }
 
@@ -53,21 +53,21 @@
 	l.changed = make(chan struct{})
 }
 
-// version returns the present version, and a channel that is closed with the next one.
+// version returns the current version and a channel that is closed at the next change.
 func (l *endpointList) version() (int, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.changes), l.changed
 }
 
-// changesSince returns what has changed after a version, and the version that it leads to.
+// changesSince returns the changes after a version, and the current version.
 func (l *endpointList) changesSince(version int) (changed []endpoint, now int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.changes[min(max(version, 0), len(l.changes)):]), len(l.changes)
 }
 
-// snapshot returns the complete snapshot and its version.
+// snapshot returns the complete list and its version.
 func (l *endpointList) snapshot() ([]endpoint, int) {
 	changes, version := l.changesSince(0)
 	var list []endpoint
--- a/internal/soaktest/flood_test.go
+++ b/internal/soaktest/flood_test.go
@@ -9,17 +9,15 @@
 )
 
 const (
-	maxFloodCommands  = 2500                   // commands that a flooding client writes at once
-	maxFloodPause     = 150 * time.Millisecond // after which it leaves
-	minFloodWriteTime = 50 * time.Millisecond  // for which it writes at least, if the router takes nothing
+	maxFloodCommands  = 2500                   // written at once
+	maxFloodPause     = 150 * time.Millisecond // longest time to write, and from a write to the disconnect
+	minFloodWriteTime = 50 * time.Millisecond  // shortest time to write if the router does not read
 )
 
-// TestFloodingClientsDisconnect has clients write up to thousands of commands at once and leave.
-//
-// Seen: attempts that began up to 0.40 s after their client had closed its connection, only for clients that
-// had written 0.68 MB or more. How: the router stopped reading at a bound, the receive window filled, and
-// the client's end waited in its own machine behind bytes that nobody read. Cause: a look at a socket that
-// can't show the end was taken for "connected".
+// TestFloodingClientsDisconnect guards against attempts for clients that have disconnected. A client that writes
+// thousands of commands fills the receive window once the router stops reading at its limit, and its FIN then
+// waits behind the unread bytes on the client's machine. The router took a socket that could not show the FIN
+// for connected: attempts began up to 0.40 s after the close, for clients that had written 0.68 MB or more.
 func TestFloodingClientsDisconnect(t *testing.T) {
 	const (
 		clients  = 4
@@ -47,7 +45,7 @@
 		})
 	}
 	running.Wait()
-	time.Sleep(p.longestTimeout) // no attempt may begin any more
+	time.Sleep(p.longestTimeout) // after which no attempt may begin
 	v := ck.check([]time.Time{time.Now().Add(time.Hour)})
 	for _, violation := range v.violations[:min(len(v.violations), maxReported)] {
 		t.Error("broken rule: " + violation)
@@ -57,12 +55,12 @@
 	}
 }
 
-// floodAndDisconnect writes many commands on a connection of its own, as far as the router takes them, and
-// closes it after a while.
+// floodAndDisconnect opens a new connection, writes as many commands as the router reads in time, and closes the
+// connection after a pause.
 func (c *client) floodAndDisconnect() {
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
-		return // the router has no descriptor left
+		return // the router has no file descriptor left
 	}
 	s := newSession(c, nc.(*net.TCPConn))
 	_ = s.nc.SetWriteDeadline(time.Now().Add(randomDuration(c.rng, minFloodWriteTime, maxFloodPause)))
--- a/internal/soaktest/late_replies_test.go
+++ b/internal/soaktest/late_replies_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// TestLateSecondReplies has caches reply twice to one request in a hundred, the second time 12 to 22 ms
-// later: too late for the usual settle time. A second reply that arrives when the connection carries the
-// next request can't be told from the reply to that. But such connections must not stay out of step, and
-// the router must learn from those second replies that it can tell.
+// TestLateSecondReplies guards against connections that stay out of step, on which each reply is taken for that
+// of the next request. Caches reply twice to one request in a hundred, the second time 12 to 22 ms later, after
+// the usual settle time. A second reply that arrives while the connection carries the next request can't be
+// told from the reply to that; the router must learn from the second replies that it can identify.
 func TestLateSecondReplies(t *testing.T) {
 	const (
 		clients          = 12
@@ -23,9 +23,9 @@
 		secondReplyEvery = 100
 		minLate          = 12 * time.Millisecond
 		maxLate          = 22 * time.Millisecond
-		cacheDelay       = 15 * time.Millisecond // of the second cache; the third has twice that
+		cacheDelay       = 15 * time.Millisecond // of the second cache; the third has twice this delay
 		caches           = 3
-		maxWrongPerReply = 2 // for each second reply, on average; there were seven to ten
+		maxWrongPerReply = 2 // for each second reply, on average; the fault caused seven to ten
 	)
 	ck := newChecker()
 	p := plan{seed: 1, longestTimeout: timeout, routers: 1, descriptors: manyDescriptors, warmupTime: defaultWarmupTime}
@@ -41,7 +41,7 @@
 			if n := replies.Add(1); n%secondReplyEvery == 0 {
 				secondReplies.Add(1)
 				late := minLate + time.Duration(n/secondReplyEvery)*time.Millisecond%(maxLate-minLate)
-				time.AfterFunc(late, func() { _, _ = io.WriteString(nc, servedReply(id)) }) // it may have ended
+				time.AfterFunc(late, func() { _, _ = io.WriteString(nc, servedReply(id)) }) // it may be closed
 			}
 			return true
 		}
@@ -62,11 +62,11 @@
 	}
 }
 
-// sendPipelined sends batches of reads, each when the one before is answered.
+// sendPipelined sends batches of reads, each after the preceding batch is answered.
 func (c *client) sendPipelined(size int, end time.Time) {
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
-		return // no request is served then
+		return // no request is sent then
 	}
 	s := newSession(c, nc.(*net.TCPConn))
 	defer s.close()
--- a/internal/soaktest/plan_test.go
+++ b/internal/soaktest/plan_test.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	maxTimeoutBeforeKill = 3 * time.Second        // of the longest timeout, as much as counts before SIGKILL
-	killDelay            = 700 * time.Millisecond // beyond it, when SIGKILL follows SIGTERM
-	stopTime             = 150 * time.Millisecond // for which a process is stopped and continued
+	maxTimeoutBeforeKill = 3 * time.Second        // the longest timeout delays SIGKILL by no more than this
+	killDelay            = 700 * time.Millisecond // from SIGTERM to SIGKILL, in addition to the longest timeout
+	stopTime             = 150 * time.Millisecond // from SIGSTOP to SIGCONT
 	defaultWarmupTime    = 2 * time.Second        // of a cache that has started
-	connectWindow        = 300 * time.Millisecond // after SIGTERM, for which clients open connections
-	maxClients           = 24                     // of all routers, that send requests
+	connectWindow        = 300 * time.Millisecond // after SIGTERM, in which clients still open connections
+	maxClients           = 24                     // number of clients that send requests, over all routers
 	fewDescriptors       = 128
 	manyDescriptors      = 1024
 	maxFloodShare        = 0.03
-	maxListDelay         = 500 * time.Millisecond // from what happens to a cache to the list that tells of it
+	maxListDelay         = 500 * time.Millisecond // from an event of a cache to the list that shows it
 )
 
-// plan is what is drawn for a seed.
+// plan contains the parameters, signals and events that are generated from a seed.
 type plan struct {
 	seed                uint64
 	longestTimeout      time.Duration
 	routers             int
 	caches              int
 	clients             int // of each router
-	idleClients         int // of each router, that connect and send nothing more
+	idleClients         int // of each router, that connect and send nothing
 	descriptors         int
 	discoveryDown       bool    // until shortly before the first SIGTERM
-	discoveryFaultShare float64 // of the replies of discovery services that meet a fault
-	floodShare          float64 // of the batches that clients replace by a flood behind which they leave
-	noTCPInfo           bool    // the system does not tell when bytes arrived
+	discoveryFaultShare float64 // share of the discovery services' replies that have a fault
+	floodShare          float64 // share of the batches that clients precede by a flood, see floodAndDisconnect
+	noTCPInfo           bool    // the system does not provide TCP_INFO, which tells when bytes arrived
 	minServiceTime      time.Duration
-	maxServiceTime      time.Duration // of a request that a cache serves at once
+	maxServiceTime      time.Duration // of a request that a cache serves without a fault
 	warmupTime          time.Duration // of a cache that has started
-	faultShare          float64
+	faultShare          float64       // share of the requests to caches that have a fault
 	signals             []plannedSignal
 	events              []cacheEvent
 	duration            time.Duration
 }
 
-// plannedSignal is sent to a router at a time since the start of the clients.
+// plannedSignal is a signal that a router is sent at a time after the start of the clients.
 type plannedSignal struct {
 	router int
 	at     time.Duration
 	signal syscall.Signal
 }
 
-// cacheEventKind is what happens to a cache in a play.
+// cacheEventKind is a kind of event that happens to a cache.
 type cacheEventKind int
 
 const (
-	eventDrain          cacheEventKind = iota // it drains and serves on
-	eventVanish                               // its process ends, and the list tells of that later
+	eventDrain          cacheEventKind = iota // it drains and continues to serve
+	eventVanish                               // its process ends, and the list shows that later
 	eventRestart                              // its process ends and starts again
-	eventMove                                 // the same at another address
-	eventHang                                 // it replies to nothing more
+	eventMove                                 // like eventRestart, at another address
+	eventHang                                 // it stops replying
 	cacheEventKindCount                       // the number of kinds
 )
 
@@ -65,12 +65,12 @@
 	return [cacheEventKindCount]string{"drain", "vanish", "restart", "move", "hang"}[k]
 }
 
-// cacheEvent happens to a cache at a time since the start of the clients.
+// cacheEvent is an event that happens to a cache at a time after the start of the clients.
 type cacheEvent struct {
 	cache     int
 	kind      cacheEventKind
 	at        time.Duration
-	listDelay time.Duration // until the list tells of it
+	listDelay time.Duration // until the list shows it
 }
 
 func generatePlan(seed uint64) plan {
@@ -98,10 +98,10 @@
 		p.floodShare = maxFloodShare * rng.Float64()
 	}
 	p.noTCPInfo = rng.IntN(2) == 0
-	for cache := 1; cache < p.caches; cache++ { // the first one stays
+	for cache := 1; cache < p.caches; cache++ { // the first cache has no events
 		kind := cacheEventKind(rng.IntN(int(cacheEventKindCount) + 2))
 		if kind >= cacheEventKindCount {
-			kind = eventHang // of which requests wait until their deadlines
+			kind = eventHang // more frequent than the others, as it makes requests wait until their deadlines
 		}
 		if rng.IntN(3) > 0 {
 			p.events = append(p.events, cacheEvent{
@@ -117,7 +117,7 @@
 	return p
 }
 
-// generateSignals draws the signals of a router that is told to end at the given time.
+// generateSignals generates the signals of a router that is sent SIGTERM at terminateAt.
 func (p *plan) generateSignals(rng *rand.Rand, router int, terminateAt time.Duration) {
 	add := func(at time.Duration, signal syscall.Signal) {
 		p.signals = append(p.signals, plannedSignal{router, at, signal})
@@ -133,7 +133,7 @@
 	for range rng.IntN(9) {
 		stop(randomDuration(rng, 0, killAt-killDelay))
 	}
-	if rng.IntN(2) == 0 { // about when the last replies are due
+	if rng.IntN(2) == 0 { // close to the time when the last answers are due
 		stop(killAt - randomDuration(rng, stopTime+killSlack, killDelay))
 	}
 	add(terminateAt, syscall.SIGTERM)
@@ -148,7 +148,7 @@
 		p.noTCPInfo, p.discoveryDown, p.discoveryFaultShare, p.faultShare)
 }
 
-// newRand returns the random numbers of one part of a seed's play.
+// newRand returns the random number generator of one part of a seed's run.
 func newRand(seed uint64, part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
 
 func randomDuration(rng *rand.Rand, least, most time.Duration) time.Duration {
--- a/internal/soaktest/process_test.go
+++ b/internal/soaktest/process_test.go
@@ -16,11 +16,11 @@
 
 const (
 	startTimeout   = 30 * time.Second
-	servingMessage = "msg=serving addr=" // its address follows
+	servingMessage = "msg=serving addr=" // followed by the address
 )
 
-// settingsFormat takes the number of routers, the longest timeout and the warm-up time of a cache, both in
-// microseconds.
+// settingsFormat is a format with three arguments: the number of routers, the longest timeout and the warm-up
+// time of a cache, both in microseconds.
 const settingsFormat = `{"instances":%d,"discovery":"automatic","weights":"none",
  "categories":[
   {"name":"read","effect":"read_like","dedupScope":"all","aim":%[2]d,"hardLimit":%[2]d,"keyTtl":2000000,"worth":1},
@@ -30,7 +30,7 @@
   "maxOpen":5000,"dialTimeout":250000,"keepalive":15000000},
  "rules":{"askEvery":10000000,"cold":%[3]d,"drainGrace":1000000,"fall":1500000,"startCapacity":0.3,"tipMultiple":3}}`
 
-// buildRouter builds the program that runs in service.
+// buildRouter builds the program cacherouter and returns its path.
 func buildRouter(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "cacherouter")
@@ -40,12 +40,12 @@
 	return program
 }
 
-// routerProcess is a router that runs as a process of its own.
+// routerProcess is a running router process.
 type routerProcess struct {
 	addr   string
 	cmd    *exec.Cmd
-	path   string         // of its configuration ...
-	config map[string]any // ... and what that holds
+	path   string         // of its configuration file
+	config map[string]any // content of the configuration file
 
 	mu  sync.Mutex
 	log []string
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = r.cmd.Process.Kill() // it has ended, unless the test failed
+		_ = r.cmd.Process.Kill() // fails if the process has exited
 		_ = r.cmd.Wait()
 	})
 	serving := make(chan string, 1)
@@ -94,7 +94,7 @@
 	return r
 }
 
-// configure writes the router's configuration with the address of its discovery service.
+// configure writes the router's configuration file with the given address of its discovery service.
 func (r *routerProcess) configure(t *testing.T, discovery string) {
 	t.Helper()
 	r.config["discovery"] = discovery
@@ -107,7 +107,7 @@
 	}
 }
 
-// routerCommand returns the command that runs the router on the system that the plan asks for.
+// routerCommand returns the command that runs the router, without TCP_INFO if the plan says so.
 func routerCommand(t *testing.T, program string, p *plan) *exec.Cmd {
 	t.Helper()
 	if p.noTCPInfo {
@@ -118,7 +118,7 @@
 	return cmd
 }
 
-// readLog keeps the lines of the log and reports the address that the router serves on.
+// readLog stores the lines of the log and sends the address that the router serves on to serving.
 func (r *routerProcess) readLog(lines *bufio.Scanner, serving chan<- string) {
 	for lines.Scan() {
 		line := lines.Text()
--- a/internal/soaktest/shim_test.go
+++ b/internal/soaktest/shim_test.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// shimmedProgram is the environment variable that names the program which the test binary becomes, once
-// it has set the system-call filter.
+// shimmedProgram is the environment variable with the program that the test binary executes after it has
+// installed the system-call filter.
 const shimmedProgram = "SOAKTEST_SHIMMED_PROGRAM"
 
-// Offsets in struct seccomp_data, of which a filter sees 32 bits at a time.
+// Offsets in struct seccomp_data, of which a filter loads 32 bits at a time.
 const (
 	systemCallOffset = 0
-	levelOffset      = 16 + 8 // the second argument
-	optionOffset     = 16 + 16
+	levelOffset      = 16 + 8  // second argument of getsockopt
+	optionOffset     = 16 + 16 // third argument of getsockopt
 )
 
-// TestMain runs the tests, or becomes a router whose sockets do not tell when bytes arrived.
+// TestMain runs the tests, or executes the program named by shimmedProgram without TCP_INFO.
 func TestMain(m *testing.M) {
 	if program := os.Getenv(shimmedProgram); program != "" {
 		fmt.Fprintln(os.Stderr, "shim:", execWithoutTCPInfo(program))
@@ -32,8 +32,8 @@
 	os.Exit(m.Run())
 }
 
-// withoutTCPInfo returns a command that runs a program in which getsockopt fails with ENOPROTOOPT where
-// TCP_INFO is asked for, as on systems that do not have it.
+// withoutTCPInfo returns a command that runs a program in which getsockopt fails with ENOPROTOOPT for TCP_INFO,
+// as on systems that do not support it.
 func withoutTCPInfo(t *testing.T, program string) *exec.Cmd {
 	t.Helper()
 	shim, err := os.Executable()
@@ -45,8 +45,8 @@
 	return cmd
 }
 
-// execWithoutTCPInfo sets the filter, which the program inherits, and runs the program in place of this
-// process. It returns only if that fails.
+// execWithoutTCPInfo installs the filter, which the program inherits, and replaces this process by the program.
+// It returns only on failure.
 func execWithoutTCPInfo(program string) error {
 	runtime.LockOSThread()
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
@@ -61,12 +61,12 @@
 	return syscall.Exec(program, []string{program}, os.Environ())
 }
 
-// tcpInfoFilter is a filter that lets all system calls pass but getsockopt(IPPROTO_TCP, TCP_INFO).
+// tcpInfoFilter returns a filter that allows all system calls except getsockopt(IPPROTO_TCP, TCP_INFO).
 func tcpInfoFilter() []unix.SockFilter {
 	load := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 	}
-	// passUnless jumps to the last instruction, which is so many ahead, unless the value is k.
+	// passUnless skips the given number of instructions, to the last one, unless the value is k.
 	passUnless := func(k uint32, ahead uint8) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: k, Jf: ahead}
 	}
--- a/internal/soaktest/soak_test.go
+++ b/internal/soaktest/soak_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	loggedLines = 40 // of a router's log that are printed with a failure
-	maxReported = 20 // violations of a seed that are printed
+	loggedLines = 40 // last lines of a router's log that are printed with a failure
+	maxReported = 20 // violations printed for each seed
 
-	oldDiscoveryLifetime = 1500 * time.Millisecond // after a move, in which the old service keeps its connections
+	oldDiscoveryLifetime = 1500 * time.Millisecond // of the old service's connections after a move
 )
 
-// TestSoak plays timelines drawn by seed and judges every request.
+// TestSoak runs the plans generated from a range of seeds and checks every request.
 func TestSoak(t *testing.T) {
 	program := buildRouter(t)
 	for i := range *seedCount {
@@ -34,7 +34,7 @@
 	}
 }
 
-// soakRun is the soakRun of one seed.
+// soakRun is the run of one seed.
 type soakRun struct {
 	t          *testing.T
 	plan       plan
@@ -42,10 +42,10 @@
 	routers    []*routerProcess
 	endpoints  *endpointList
 	caches     []*cache
-	discovery  [][]*discovery  // by router, those that it has moved to; the last one is in use
-	exited     []chan struct{} // by router, closed when it has ended
-	terminated []chan struct{} // by router, closed some time after SIGTERM
-	killed     []time.Time     // by router
+	discovery  [][]*discovery  // by router, all services it has used; the last one is in use
+	exited     []chan struct{} // by router, closed when it was sent SIGKILL
+	terminated []chan struct{} // by router, closed connectWindow after SIGTERM
+	killed     []time.Time     // by router, when it was sent SIGKILL
 	idleConns  []net.Conn
 }
 
@@ -67,7 +67,7 @@
 	return s
 }
 
-// addDiscovery starts a discovery service for a router to use from now on, and returns its address.
+// addDiscovery starts a new discovery service for a router and returns its address.
 func (s *soakRun) addDiscovery(router int) string {
 	number := len(s.discovery[router])
 	rng := newRand(s.plan.seed, uint64(1_000_000+1000*router+number))
@@ -77,15 +77,16 @@
 	return d.addr()
 }
 
-// moveDiscovery configures another discovery service for a router. The old one ends its connections after
-// a while.
+// moveDiscovery configures a new discovery service for a router. The old one closes its connections after
+// oldDiscoveryLifetime.
 func (s *soakRun) moveDiscovery(router int) {
 	old := s.discovery[router][len(s.discovery[router])-1]
 	s.routers[router].configure(s.t, s.addDiscovery(router))
 	time.AfterFunc(oldDiscoveryLifetime, old.server.CloseClientConnections)
 }
 
-// applyEvent has an event applyEvent to a cache and the list tell of it.
+// applyEvent applies an event to a cache and publishes the cache's new state in the endpoint list. A hang does
+// not change the list.
 func (s *soakRun) applyEvent(e cacheEvent) {
 	c := s.caches[e.cache]
 	listed := c.endpoint()
@@ -101,7 +102,7 @@
 			addr = "127.0.0.1:0"
 		}
 		if err := c.restart(addr, e.listDelay); err != nil {
-			s.t.Log("a cache can't start again: ", err) // its port has been taken meanwhile
+			s.t.Log("a cache can't start again: ", err) // another process has taken its port
 			return
 		}
 		listed = c.endpoint()
@@ -113,7 +114,7 @@
 	s.endpoints.publish(listed)
 }
 
-// run plays the plan and reports what broke a rule.
+// run executes the plan and reports the requests that broke a rule.
 func (s *soakRun) run() {
 	s.t.Log(&s.plan)
 	done := make(chan struct{})
@@ -141,7 +142,7 @@
 	close(done)
 	events.Wait()
 	for _, nc := range s.idleConns {
-		_ = nc.Close() // it may have ended
+		_ = nc.Close() // fails only if it is closed already
 	}
 	v := s.checker.check(s.killed)
 	s.t.Log(v)
@@ -172,7 +173,7 @@
 	}
 }
 
-// connectIdleClients opens connections that stay idle.
+// connectIdleClients opens connections that send nothing.
 func (s *soakRun) connectIdleClients(router int) {
 	for range s.plan.idleClients {
 		if nc, err := net.Dial("tcp", s.routers[router].addr); err == nil {
@@ -181,17 +182,17 @@
 	}
 }
 
-// sendSignals sends the signals of the plan at their times, and waits for the ends of the routers.
+// sendSignals sends the signals of the plan at their times and waits for all routers to exit.
 func (s *soakRun) sendSignals() {
-	begun := time.Now()
+	start := time.Now()
 	signals := slices.Clone(s.plan.signals)
 	slices.SortFunc(signals, func(a, b plannedSignal) int { return int(a.at - b.at) })
 	for _, signal := range signals {
-		time.Sleep(time.Until(begun.Add(signal.at)))
+		time.Sleep(time.Until(start.Add(signal.at)))
 		s.sendSignal(signal)
 	}
 	for _, r := range s.routers {
-		_ = r.cmd.Wait() // it got SIGKILL, or has ended before
+		_ = r.cmd.Wait() // fails because the process was killed, or exited before
 	}
 }
 
@@ -210,10 +211,10 @@
 		s.killed[signal.router] = time.Now()
 		defer close(s.exited[signal.router])
 	}
-	_ = router.cmd.Process.Signal(signal.signal) // it may have ended by itself
+	_ = router.cmd.Process.Signal(signal.signal) // the process may have exited
 }
 
-// endOutage has all discovery services answer.
+// endOutage makes all discovery services reply again.
 func (s *soakRun) endOutage() {
 	s.plan.discoveryDown = false
 	for _, services := range s.discovery {
@@ -223,7 +224,7 @@
 	}
 }
 
-// logRouters prints the ends of the routers' logs.
+// logRouters prints the last lines of each router's log.
 func (s *soakRun) logRouters() {
 	for i, r := range s.routers {
 		r.mu.Lock()
--- a/internal/soaktest/starved_test.go
+++ b/internal/soaktest/starved_test.go
@@ -13,31 +13,29 @@
 const (
 	starvedTimeout    = 500 * time.Millisecond
 	starvedWarmupTime = 9 * time.Second
-	starvedService    = 20 * time.Millisecond // of each request at a cache
-	starvedClients    = 8                     // connections that requests are spread over
-	starvedListeners  = 8                     // of the caches, each of which has many names
-	readyTime         = 500 * time.Millisecond
+	starvedService    = 20 * time.Millisecond  // of each request at a cache
+	starvedClients    = 8                      // connections over which the requests are distributed
+	starvedListeners  = 8                      // shared by all caches
+	readyTime         = 500 * time.Millisecond // between the start of the router and the load
 	releaseInterval   = time.Second
-	releaseSteps      = 20   // steps in which all caches are replaced
-	minServedRatio    = 0.85 // least part of what is served before few caches that is served before many
+	releaseSteps      = 20   // in which all caches are replaced
+	minServedRatio    = 0.85 // least ratio of requests served with many caches to those served with few
 )
 
-// cacheCondition is the state that the caches of a starved router are in.
+// cacheCondition is the state of a starved router's caches.
 type cacheCondition int
 
 const (
 	allWarm cacheCondition = iota
 	allJustStarted
 	halfRefuse     // half of the listed caches refuse connections
-	rollingRelease // one in twenty is replaced each second
+	rollingRelease // one in twenty caches is replaced each second
 )
 
-// TestStarvedRouterWithManyCaches checks that a router that gets a tenth of a core answers every request
-// in time, also before thousands of caches.
-//
-// Seen: one request in four of a fleet lost, only with thousands of caches, from when most of them had
-// started lately. Cause: the work for a decision grew with the square of the caches, and a request whose
-// time was over cost most of all.
+// TestStarvedRouterWithManyCaches checks that a router limited to a tenth of a core answers every request in
+// time, even with thousands of caches. It guards against decisions whose work grows with the square of the number
+// of caches, and is greatest for requests past their deadlines: one request in four of a fleet was lost, only with
+// thousands of caches, once most of them had started recently.
 func TestStarvedRouterWithManyCaches(t *testing.T) {
 	const (
 		share = 0.1
@@ -66,22 +64,21 @@
 	}
 }
 
-// TestRouterBeyondItsProcessor checks that a router that gets several times the requests that its share of
-// a core carries answers all of them in time, serves nearly as many as before, and serves all again soon after.
-//
-// Seen: hundreds of requests a second lost at routers that had fallen behind, none of which recovered.
-// Cause: requests whose time was over got the same work as others, in the order of their arrival.
+// TestRouterBeyondItsProcessor checks that a router that receives several times the requests that its share of a
+// core can handle answers all of them in time, serves nearly as many as before, and recovers soon after. It guards
+// against spending as much work on requests past their deadlines as on others, in the order of arrival: routers that
+// had fallen behind lost hundreds of requests a second, and none recovered.
 func TestRouterBeyondItsProcessor(t *testing.T) {
 	const (
 		share         = 0.05
 		caches        = 200
-		carriedRate   = 250 // requests a second
+		carriedRate   = 250 // requests a second that the router can handle
 		overloadRate  = 1000
 		lowRate       = 30
 		loadTime      = 4 * time.Second
 		recoveryTime  = 2 * time.Second
-		goodputShare  = 0.8 // of what is served at the rate that is carried
-		recoveryShare = 0.9 // of the requests that are served once the overload is over
+		goodputShare  = 0.8 // least share of what is served at carriedRate
+		recoveryShare = 0.9 // least share of the requests that are served after the overload
 	)
 	s := newStarvedTest(t, buildRouter(t), caches, allWarm)
 	go throttle(s.router.cmd.Process.Pid, share, s.done)
@@ -100,7 +97,7 @@
 	}
 }
 
-// starvedTest is a router process before caches that share a few listeners.
+// starvedTest runs one router process with caches that share a few listeners.
 type starvedTest struct {
 	t         *testing.T
 	checker   *checker
@@ -115,7 +112,7 @@
 	s := &starvedTest{t: t, checker: newChecker(), done: make(chan struct{})}
 	p := plan{
 		seed: 1, longestTimeout: starvedTimeout, descriptors: manyDescriptors, warmupTime: starvedWarmupTime,
-		routers:        caches * 3 / 2, // as many as share the caches where each has the same part of them
+		routers:        caches * 3 / 2, // as many as share the caches if each uses an equal part of them
 		minServiceTime: starvedService, maxServiceTime: starvedService,
 	}
 	var addresses []string
@@ -144,7 +141,8 @@
 	return s
 }
 
-// replaceCaches replaces caches until the test is over: the new ones are listed a second before the old ones go.
+// replaceCaches replaces caches until the end of the test. New caches are listed, and the old ones marked as
+// terminating, one second before the old ones are removed.
 func (s *starvedTest) replaceCaches(caches int, addresses []string) {
 	ticker := time.NewTicker(releaseInterval)
 	defer ticker.Stop()
@@ -171,8 +169,8 @@
 	}
 }
 
-// refusingAddress returns an address that refuses connections. A socket that does not listen holds its port,
-// which another test would else get, and with it what is meant for this one.
+// refusingAddress returns an address that refuses connections. A socket that does not listen is bound to its port.
+// Otherwise another test could get the port, and with it the connections of this test.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -190,12 +188,13 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port)
 }
 
-// sendLoad sends so many requests a second, whatever becomes of them, and returns how they were judged.
+// sendLoad sends requests at a rate, independently of their answers, and returns the result of checking them.
 func (s *starvedTest) sendLoad(rate int, duration time.Duration) checkResult {
 	s.t.Helper()
 	s.loads++
 	s.checker.reset()
-	// The router is stopped again and again: the half second that answers may be late is what binds.
+	// throttle stops the router again and again. A stop for the entire load disables checkLateAnswers, so that
+	// only lateAnswerLimit applies.
 	s.checker.recordStop(0, time.Now(), time.Hour)
 	done := make(chan struct{})
 	var clients sync.WaitGroup
@@ -213,7 +212,7 @@
 	return v
 }
 
-// sendRequests sends reads of single keys at random times on a connection of its own.
+// sendRequests opens a connection and sends reads of random keys at random times.
 func (s *starvedTest) sendRequests(c *client, rate float64, duration time.Duration) {
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
@@ -222,12 +221,12 @@
 	}
 	session := newSession(c, nc.(*net.TCPConn))
 	defer session.close()
-	for at, begun := 0.0, time.Now(); ; {
+	for at, start := 0.0, time.Now(); ; {
 		at += c.rng.ExpFloat64() / rate
 		if at > duration.Seconds() {
 			break
 		}
-		time.Sleep(time.Until(begun.Add(time.Duration(at * float64(time.Second)))))
+		time.Sleep(time.Until(start.Add(time.Duration(at * float64(time.Second)))))
 		c.sent++
 		r := &request{id: fmt.Sprintf("%s-%d", c.name, c.sent), class: classRead, timeout: starvedTimeout}
 		r.wire = encode(r, int(c.rng.Uint32()))
--- a/internal/soaktest/stopped_test.go
+++ b/internal/soaktest/stopped_test.go
@@ -11,15 +11,14 @@
 	"time"
 )
 
-// TestDeadlineCountsWhileStopped checks that the deadline of a request counts from its arrival where
-// the process is stalled just then: the client does not wait for longer.
+// TestDeadlineCountsWhileStopped checks that the deadline of a request counts from its arrival, even if the
+// router process is stalled at that time.
 //
-// Seen: nine requests, at each of six routers under fault injection, got no answer by the time that their
-// clients gave up, 60 ms after the deadline, though requests before and behind them were answered to the
-// millisecond. How: each arrived while its router was stalled, for up to 0.15 s, was read 65 to 117 ms
-// late, and its deadline counted from the read. Cause: where the system does not tell when bytes arrived
-// (TCP_INFO), the router took the arrival that it did not know for the latest possible. Proof: the case
-// below without TCP_INFO fails unless the router bounds the arrival by the stalls that it notes itself.
+// It guards against counting from the time of the read. Without TCP_INFO the router does not know when bytes
+// arrived, and it assumed the latest possible time. Requests that arrived during a stall of up to 0.15 s were read
+// 65 to 117 ms late; nine of them, at each of six routers under fault injection, had no answer when their clients
+// gave up 60 ms after the deadline, while the requests before and after them were answered on time. The case
+// without TCP_INFO fails unless the router derives a bound of the arrival time from the stalls that it detects.
 func TestDeadlineCountsWhileStopped(t *testing.T) {
 	program := buildRouter(t)
 	for name, noTCPInfo := range map[string]bool{"with TCP_INFO": false, "without TCP_INFO": true} {
@@ -33,7 +32,7 @@
 }
 
 // TestDeadlineOfNewConnectionCountsWhileStopped is like TestDeadlineCountsWhileStopped for the first
-// request of a connection that is opened during the stall.
+// request on a connection that is opened during the stall.
 func TestDeadlineOfNewConnectionCountsWhileStopped(t *testing.T) {
 	program := buildRouter(t)
 	for name, noTCPInfo := range map[string]bool{"with TCP_INFO": false, "without TCP_INFO": true} {
@@ -53,7 +52,7 @@
 	stoppedTime    = 800 * time.Millisecond
 )
 
-// stoppedTest is a router process that is stopped and continued, and a client.
+// stoppedTest runs a client and a router process that is stopped and continued.
 type stoppedTest struct {
 	t       *testing.T
 	checker *checker
@@ -77,7 +76,7 @@
 	return s
 }
 
-// connect opens another connection for the requests that follow.
+// connect opens a new connection for the following requests.
 func (s *stoppedTest) connect() {
 	s.t.Helper()
 	nc, err := net.Dial("tcp", s.client.addr)
@@ -88,7 +87,8 @@
 	s.t.Cleanup(s.close)
 }
 
-// request sends a request while the router is stopped for the given time, and awaits its answer.
+// request sends a request and waits for its answer. If stop is not zero, the router is stopped before the request
+// is sent, and continued when this time has passed.
 func (s *stoppedTest) request(stop time.Duration) {
 	s.t.Helper()
 	s.client.sent++
@@ -118,7 +118,7 @@
 	}
 }
 
-// stopProcess stops a router and waits until none of its threads runs.
+// stopProcess stops a router and waits until all its threads are stopped.
 func stopProcess(t *testing.T, r *routerProcess) {
 	t.Helper()
 	signalProcess(t, r, syscall.SIGSTOP)
--- a/internal/soaktest/throttle_test.go
+++ b/internal/soaktest/throttle_test.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	throttleInterval = 2 * time.Millisecond // between looks at the processor time that a process has used
-	throttleBurst    = 2 * time.Millisecond // of processor time that it may save up
+	throttleInterval = 2 * time.Millisecond // between readings of the CPU time that a process has used
+	throttleBurst    = 2 * time.Millisecond // most CPU time that an idle process accumulates
 )
 
-// throttle holds a process to a share of a core, by stops, until done is closed. The process then runs on.
+// throttle limits a process to a share of a core by stopping and continuing it, until done is closed. The process
+// then runs without a limit.
 func throttle(process int, share float64, done <-chan struct{}) {
-	defer func() { _ = syscall.Kill(process, syscall.SIGCONT) }() // it may have ended
+	defer func() { _ = syscall.Kill(process, syscall.SIGCONT) }() // the process may have exited
 	ticker := time.NewTicker(throttleInterval)
 	defer ticker.Stop()
 	used, last := processorTime(process), time.Now()
@@ -39,14 +40,15 @@
 			if stop {
 				signal = syscall.SIGSTOP
 			}
-			_ = syscall.Kill(process, signal) // it may have ended
+			_ = syscall.Kill(process, signal) // the process may have exited
 		}
 	}
 }
 
-// processorTime is what all threads of a process have used, by the scheduler's count (schedstat of proc(5)).
+// processorTime returns the CPU time that all threads of a process have used, according to the scheduler
+// (schedstat of proc(5)).
 func processorTime(process int) time.Duration {
-	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is well formed
+	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is valid
 	total := time.Duration(0)
 	for _, thread := range threads {
 		raw, err := os.ReadFile(thread)
@@ -61,7 +63,7 @@
 	return total
 }
 
-// TestThrottle checks that a busy process gets the share that it is held to.
+// TestThrottle checks that a busy process gets no more than twice its share, and some CPU time.
 func TestThrottle(t *testing.T) {
 	const (
 		share    = 0.1
--- a/internal/soaktest/unread_test.go
+++ b/internal/soaktest/unread_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// unreadBytes returns how many bytes have arrived on the router's side of a connection that the router
-// has not read. It reports false if that side is not there any more, or if it is closed on both sides,
-// as what was left unread is not known of it then.
+// unreadBytes returns how many bytes have arrived at the router's side of a connection that the router has not
+// read. It reports false if the router's socket no longer exists, or if both sides have closed the connection, as
+// the number of unread bytes is unknown then.
 func unreadBytes(router, client net.Addr) (unread int64, ok bool) {
 	s, err := netlink.SocketGet(router, client)
 	if err != nil || s.State == netlink.TCP_TIME_WAIT {
@@ -19,8 +19,8 @@
 	return int64(s.RQueue), true
 }
 
-// undeliveredBytes returns how many of the bytes that were written to a connection have not arrived at the
-// peer's machine, as its receive window is full. It reports false if that can't be told.
+// undeliveredBytes returns how many of the bytes that were written to a connection have not arrived at the peer's
+// machine, because its receive window is full. It reports false if that is unknown.
 func undeliveredBytes(nc *net.TCPConn) (undelivered int64, ok bool) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -35,8 +35,8 @@
 	return undelivered, err == nil && queryErr == nil
 }
 
-// awaitHangup waits for the end of a connection to arrive from the peer. It reports false if none does
-// in time.
+// awaitHangup waits until the peer ends a connection. It reports false on a timeout, and true if the connection is
+// closed locally.
 func awaitHangup(nc *net.TCPConn, timeout time.Duration) bool {
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -48,5 +48,5 @@
 		n, pollErr := unix.Poll(fds, int(timeout.Milliseconds()))
 		hungUp = pollErr == nil && n > 0
 	})
-	return hungUp || err != nil // the client has closed it
+	return hungUp || err != nil // an error means that the client has closed the connection
 }
