--- a/internal/soaktest/cache_test.go
+++ b/internal/soaktest/cache_test.go
@@ -19,7 +19,7 @@
 
 const (
 	maxIdleFaultDelay   = 60 * time.Millisecond // from a reply to a fault of the idle connection
-	endlessReplyPieces  = 400                   // sent of a reply that is never complete
+	endlessReplyPieces  = 400                   // of a reply that stays incomplete while any client waits for it
 	maxServiceTime      = 15 * time.Millisecond // of a request that is served without a fault
 	maxHang             = 4 * time.Second       // after which the connection of a request that hangs is closed
 	secondReplyDelay    = 6 * time.Millisecond  // between a reply and a second reply to the same request
@@ -33,7 +33,7 @@
 type cacheFault int
 
 const (
-	faultHang            cacheFault = iota // no reply
+	faultHang            cacheFault = iota // no reply; the connection is closed after maxHang
 	faultReset                             // the connection is reset without a reply
 	faultError                             // an error reply
 	faultBusy                              // a rejection
--- a/internal/soaktest/client_test.go
+++ b/internal/soaktest/client_test.go
@@ -23,7 +23,7 @@
 	largeSetValueSize  = 60_000                 // of a few values that are stored
 	largeShare         = 0.02                   // of the stored values that are large
 	slowWriteShare     = 0.05                   // of the batches that are written in many parts
-	slowWriteSplits    = 20                     // of such a batch
+	slowWriteSplits    = 20                     // splits of such a batch
 	keyCount           = 50
 	answerWait         = 2 * time.Second       // after the last timeout, in which answers are awaited
 	redialInterval     = 5 * time.Millisecond  // after a failed attempt to connect
@@ -48,7 +48,7 @@
 	addr         string
 	maxTimeout   time.Duration
 	routerExited <-chan struct{} // closed when the router was sent SIGKILL
-	terminated   <-chan struct{} // closed connectWindow after SIGTERM
+	terminated   <-chan struct{} // closed connectWindow after SIGTERM; no more connections are opened then
 	slow         bool            // it reads slowly
 	floodShare   float64         // share of the batches that are preceded by a flood, see floodAndDisconnect
 	sent         int
@@ -167,9 +167,9 @@
 	writeClosed bool       // no more writes are allowed; guarded by writing
 	sentBytes   int64      // guarded by writing
 	mu          sync.Mutex
-	written     int // requests written or about to be written
+	written     int // requests written or about to be written; guarded by mu, like the fields below
 	answered    int
-	lastDue     time.Time
+	lastDue     time.Time // when the last request written times out at the latest
 }
 
 func newSession(c *client, nc *net.TCPConn) *session {
@@ -191,7 +191,7 @@
 // bytes that it left unread have been recorded before.
 func (s *session) close() {
 	s.client.checker.recordClientClose(s.connection)
-	_ = s.nc.Close() // it may have ended
+	_ = s.nc.Close() // fails only if it is closed already
 	<-s.ended
 }
 
