--- a/internal/soaktest/throttle_test.go
+++ b/internal/soaktest/throttle_test.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	throttleInterval = 2 * time.Millisecond // between looks at the processor time that a process has used
-	throttleBurst    = 2 * time.Millisecond // of processor time that it may save up
+	throttleInterval = 2 * time.Millisecond // between readings of the CPU time that a process has used
+	throttleBurst    = 2 * time.Millisecond // most CPU time that an idle process accumulates
 )
 
-// throttle holds a process to a share of a core, by stops, until done is closed. The process then runs on.
+// throttle limits a process to a share of a core by stopping and continuing it, until done is closed. The process
+// then runs without a limit.
 func throttle(process int, share float64, done <-chan struct{}) {
-	defer func() { _ = syscall.Kill(process, syscall.SIGCONT) }() // it may have ended
+	defer func() { _ = syscall.Kill(process, syscall.SIGCONT) }() // the process may have exited
 	ticker := time.NewTicker(throttleInterval)
 	defer ticker.Stop()
 	used, last := processorTime(process), time.Now()
-	saved := time.Duration(0)
+	budget := time.Duration(0)
 	for stopped := false; ; {
 		select {
 		case <-done:
@@ -30,23 +31,24 @@
 		case <-ticker.C:
 		}
 		now, nowUsed := time.Now(), processorTime(process)
-		saved += time.Duration(share*float64(now.Sub(last))) - (nowUsed - used)
-		saved = min(saved, throttleBurst)
+		budget += time.Duration(share*float64(now.Sub(last))) - (nowUsed - used)
+		budget = min(budget, throttleBurst)
 		used, last = nowUsed, now
-		if stop := saved < 0; stop != stopped {
+		if stop := budget < 0; stop != stopped {
 			stopped = stop
 			signal := syscall.SIGCONT
 			if stop {
 				signal = syscall.SIGSTOP
 			}
-			_ = syscall.Kill(process, signal) // it may have ended
+			_ = syscall.Kill(process, signal) // the process may have exited
 		}
 	}
 }
 
-// processorTime is what all threads of a process have used, by the scheduler's count (schedstat of proc(5)).
+// processorTime returns the CPU time that all threads of a process have used, according to the scheduler
+// (schedstat of proc(5)).
 func processorTime(process int) time.Duration {
-	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is well formed
+	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is valid
 	total := time.Duration(0)
 	for _, thread := range threads {
 		raw, err := os.ReadFile(thread)
@@ -61,11 +63,11 @@
 	return total
 }
 
-// TestThrottle checks that a busy process gets the share that it is held to.
+// TestThrottle checks that a busy process gets no more than twice its share, and some CPU time.
 func TestThrottle(t *testing.T) {
 	const (
 		share    = 0.1
-		playTime = time.Second
+		busyTime = time.Second
 	)
 	busy, err := os.StartProcess("/bin/sh", []string{"sh", "-c", "while :; do :; done"}, &os.ProcAttr{
 		Sys: &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL},
@@ -79,9 +81,9 @@
 	}()
 	done := make(chan struct{})
 	before := processorTime(busy.Pid)
-	time.AfterFunc(playTime, func() { close(done) })
+	time.AfterFunc(busyTime, func() { close(done) })
 	throttle(busy.Pid, share, done)
-	if used := processorTime(busy.Pid) - before; used > 2*time.Duration(share*float64(playTime)) || used == 0 {
-		t.Errorf("used %v of processor time in %v at a share of %v", used, playTime, share)
+	if used := processorTime(busy.Pid) - before; used > 2*time.Duration(share*float64(busyTime)) || used == 0 {
+		t.Errorf("used %v of processor time in %v at a share of %v", used, busyTime, share)
 	}
 }
