--- a/internal/faulttest/faulttest.go
+++ b/internal/faulttest/faulttest.go
@@ -16,7 +16,8 @@
 	minStall      = 30 * time.Millisecond // between two looks that counts
 )
 
-// ErrNoAnswer reports bytes that are neither a bulk string nor a line.
+// ErrNoAnswer reports data that is not an answer of a router: neither a bulk string of a valid length nor a line
+// that begins with + or -.
 var ErrNoAnswer = errors.New("neither a bulk string nor a line")
 
 // ReadAnswer reads one answer of a router. It returns the answer, a bulk string without its frame, and
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -43,8 +43,8 @@
 	l.limited.Store(limit.PerSecond > 0)
 }
 
-// rejection counts a request against the limit. It returns the reply if the request is to be rejected, or nil if it
-// is within the limit.
+// rejection counts a request against the limit. It returns nil if the request is admitted, or otherwise the reply
+// that rejects it.
 func (l *requestLimiter) rejection() []byte {
 	if !l.limited.Load() || l.limiter.Allow() {
 		return nil
--- a/internal/router/command_reader.go
+++ b/internal/router/command_reader.go
@@ -249,8 +249,8 @@
 	}
 }
 
-// updateDeadline sets the deadline of the rest of a partial command, and brings it forward once if the
-// connection is being evicted.
+// updateDeadline sets the deadline by which the rest of a partial command must arrive. If the connection is
+// being evicted, it shortens the time left to evictionGrace, at most once per command.
 func (r *commandReader) updateDeadline() {
 	if len(r.buf) == 0 {
 		return
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -29,8 +29,8 @@
 }
 
 // applyReplacedEndpoints applies a list from a replaced discovery service while the new service has not sent a
-// list yet. The list does not affect the calls to the new service: they ask for the changes since the version
-// known at the move.
+// list yet. The list's version is ignored: the new service is still asked for the changes since the version that
+// was set when it replaced the old one.
 func (l *eventLoop) applyReplacedEndpoints(list discovery.EndpointList) {
 	l.updateEndpoints(list, list.Kind())
 	l.startTimes.noteContactLost()
--- a/internal/router/event_loop.go
+++ b/internal/router/event_loop.go
@@ -72,7 +72,7 @@
 	cancelWatch         context.CancelFunc // cancels the open watch
 
 	discoveryMoves       int                  // number of moves to another discovery service
-	lastListMoves        int                  // discoveryMoves at the start of the watch that sent the last list
+	lastListMoves        int                  // discoveryMoves of the watch that sent the last list
 	replacedWatchCancels []context.CancelFunc // cancel the watches of replaced services that still run, oldest first
 }
 
--- a/internal/scaletest/endpoint_list_cache.go
+++ b/internal/scaletest/endpoint_list_cache.go
@@ -10,7 +10,8 @@
 )
 
 // endpointListCache keeps the endpoint list that was parsed last. Most hollow routers of a process
-// receive the same list, and parsing it only once saves processor time for what is measured.
+// receive the same list. Parsing it only once leaves more processor time to the measured processes, which
+// run on the same machine.
 type endpointListCache struct {
 	mu     sync.Mutex
 	raw    []byte
--- a/internal/scaletest/figures.go
+++ b/internal/scaletest/figures.go
@@ -183,6 +183,8 @@
 	r.addDiscoveryStats(roleDiscoveryOfFleet, groupHollow, float64(hollow)/float64(routers), basisDerived)
 }
 
+// addStandIns adds the resource use and the errors of the stand-ins, which are the processes that simulate
+// the hollow routers, the cache servers and discovery.
 func (r *reporter) addStandIns() {
 	after, before := &r.after.standIns, &r.before.standIns
 	fleetCPU := r.cpuPercent(after.fleet, before.fleet)
@@ -197,7 +199,7 @@
 	r.add(roleStandIns, "messages to opened caches that went wrong", unitPerSecond, r.rate(failures, 1), basisMeasured)
 }
 
-// listNotMeasured adds the notes on what the figures do not cover.
+// listNotMeasured adds notes on what the figures do not cover.
 func (r *reporter) listNotMeasured() {
 	p := r.point
 	r.NotMeasured = []string{
--- a/internal/scaletest/worker.go
+++ b/internal/scaletest/worker.go
@@ -44,7 +44,7 @@
 
 // worker runs one of the stand-ins.
 type worker interface {
-	// ready returns the first reply, which says that the worker is ready.
+	// ready returns the worker's first reply, which tells the parent process that the worker is ready.
 	ready() any
 	// handle executes a command and returns the reply.
 	handle(command workerCommand) any
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -21,8 +21,8 @@
 	return Unit(Mix(uint64(*s)))
 }
 
-// Jitter shortens a wait by a random part of up to a half, so that waits that start at the same time do not
-// all end at the same time.
+// Jitter returns a random duration from half of the given wait up to the wait itself, so that waits that start
+// at the same time do not all end at the same time.
 func (s *Source) Jitter(wait float64) float64 { return wait * (0.5 + s.Float64()/2) }
 
 // Mix is the finalizer of SplitMix64: a bijection whose result depends on all bits of x.
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -10,8 +10,8 @@
 
 const (
 	maxBackoffDoublings      = 6         // doublings of a backoff
-	minPollInterval     Time = 1_000_000 // lower bound of Settings.PollInterval for the backoff
-	pollBackoffDivisor       = 40        // divides the poll interval to give the start of the backoff
+	minPollInterval     Time = 1_000_000 // the backoff is computed from at least this poll interval
+	pollBackoffDivisor       = 40        // the backoff starts at the poll interval divided by this
 	maxPollTime         Time = 1_000_000 // time that a poll may take
 	minListedWeight          = 1e-3      // lower bound of the listed weight, so that the load stays finite
 
@@ -150,7 +150,8 @@
 	}
 }
 
-// start starts the timers and sets the initial limit of the origin, after the first endpoint list.
+// start starts the timers and sets the origin's first limit, which depends on the number of caches. It is
+// called when the first endpoint list has been applied.
 func (e *Engine) start() {
 	e.missRatio = 1
 	fleetLimit := initialFleetLimit * float64(len(e.inService))
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -129,8 +129,9 @@
 	return e.canSend(req, c) && !req.alreadyTried(c) && e.slowStartAllows(req, c)
 }
 
-// alreadyTried reports whether the next attempt should go to another cache. After a single reset connection
-// the same cache is tried again: the reset says little about the cache, and the key would miss at any other.
+// alreadyTried reports whether earlier attempts rule the cache out for the next one. A single attempt that
+// ended with a reset connection does not: one reset is weak evidence of a faulty cache, and the other caches
+// are unlikely to have the key.
 func (r *request) alreadyTried(c *cache) bool {
 	attempts := 0
 	for _, a := range r.attempts {
@@ -144,8 +145,9 @@
 	return false
 }
 
-// canSpillOver reports whether a request may go to the cache because caches of higher ranks lack capacity,
-// although it will likely miss there. In overload no request spills over to a warming cache.
+// canSpillOver reports whether a request may go to the cache after another cache was passed over for lack of
+// capacity, its own or the origin's. In overload no request spills over to a warming cache. A cache that is
+// unlikely to have the key is allowed only if the origin has capacity or the retry budget covers an attempt.
 func (e *Engine) canSpillOver(req *request, c *cache) bool {
 	return (e.now >= c.warmAt || e.goodputRatio >= 1-toleratedLateShare) &&
 		(c.likelyCached(req.Key) || e.originHasCapacity() || e.retryBudget >= 1)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// queueDeadline returns the time until which a request may wait for capacity. Later it would be served late.
+// queueDeadline returns the time until which a request may wait for capacity. After a longer wait, its reply
+// would likely be late.
 func (r *request) queueDeadline() Time {
 	span := min(r.class.LatencyObjective, r.Deadline-r.arrivedAt)
 	return r.arrivedAt + Time(maxQueueShare*float64(span))
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -21,7 +21,8 @@
 	if e.sparseTraffic() && weight > 0 && e.mayBeHotKey(req.Key, c.Weight, share) {
 		return false
 	}
-	// The selected keys can still carry more traffic than the cache's weighted part of what warm caches accept.
+	// The selected keys can still carry too much traffic. The cache therefore gets at most its part of the
+	// attempts that warm caches recently accepted, in proportion to its weight and its assumed capacity.
 	accepted := e.warmLoad.At(e.now, e.settings.OverloadTime)
 	fairCount := e.warmupFraction(c) * c.Weight * accepted / max(weight, c.Weight)
 	return c.recentAttempts.At(e.now, e.settings.OverloadTime) < 1+fairCount
@@ -30,8 +31,9 @@
 // slowStartHash maps a key to [0, 1). A warming cache gets the key if the result is below its share.
 func slowStartHash(key uint64) float64 { return hashToUnit(mix(key) + 1) }
 
-// avoidsWarming reports whether a request must not go to a warming cache, as with retries and hot keys.
-// During a fault, retries are most of the traffic, and all of them look for spare capacity.
+// avoidsWarming reports whether a request must not go to a warming cache, because it has been attempted
+// before or its key is hot. During a fault, retries are most of the traffic, and all of them look for spare
+// capacity.
 func (e *Engine) avoidsWarming(req *request) bool {
 	return len(req.attempts) > 0 || e.replicaCount(req.Key) > 1
 }
