--- a/policy/limits.go
+++ b/policy/limits.go
@@ -150,9 +150,9 @@
 	return min(1, c.acceptedKeyShare*growth)
 }
 
-// acceptsKey reports whether this router sends the key to the cache. In sparse traffic a router sends an
+// sendsKeyTo reports whether this router sends the key to the cache. In sparse traffic a router sends an
 // overloaded cache only a share of its keys. Each router selects them by a hash of its own, so that the
 // routers together spread a hot key over as many caches as it needs.
-func (e *Engine) acceptsKey(c *cache, key uint64) bool {
+func (e *Engine) sendsKeyTo(c *cache, key uint64) bool {
 	return !e.sparseTraffic() || hashToUnit(key^c.hash^e.salt) < e.currentKeyShare(c)
 }
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -103,7 +103,7 @@
 	}
 	s.considered++
 	switch {
-	case !e.acceptsKey(c, req.Key):
+	case !e.sendsKeyTo(c, req.Key):
 	case !c.usable():
 		s.setFallback(c)
 	case req.likelyMissAt(c) && e.originFull():
@@ -126,13 +126,13 @@
 
 // eligible reports whether a cache may get the next attempt of a request, regardless of its health and load.
 func (e *Engine) eligible(req *request, c *cache) bool {
-	return e.canSend(req, c) && !req.alreadyTried(c) && e.slowStartAllows(req, c)
+	return e.canSend(req, c) && !req.ruledOut(c) && e.slowStartAllows(req, c)
 }
 
-// alreadyTried reports whether earlier attempts rule the cache out for the next one. A single attempt that
+// ruledOut reports whether earlier attempts rule the cache out for the next one. A single attempt that
 // ended with a reset connection does not: one reset is weak evidence of a faulty cache, and the other caches
 // are unlikely to have the key.
-func (r *request) alreadyTried(c *cache) bool {
+func (r *request) ruledOut(c *cache) bool {
 	attempts := 0
 	for _, a := range r.attempts {
 		if a.cache == c {
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -98,7 +98,7 @@
 	if !group.warmingUp {
 		return len(group.caches)
 	}
-	if e.avoidsWarming(req) {
+	if e.mustAvoidWarmingCaches(req) {
 		return 0
 	}
 	share := e.slowStartShare(group.caches[0]) // the largest of the group
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -14,7 +14,7 @@
 		return true
 	}
 	share := e.slowStartShare(c)
-	if slowStartHash(req.Key) >= share || e.avoidsWarming(req) {
+	if slowStartHash(req.Key) >= share || e.mustAvoidWarmingCaches(req) {
 		return false
 	}
 	weight := e.weightSums().warm
@@ -24,17 +24,17 @@
 	// The selected keys can still carry too much traffic. The cache therefore gets at most its part of the
 	// attempts that warm caches recently accepted, in proportion to its weight and its assumed capacity.
 	accepted := e.warmLoad.At(e.now, e.settings.OverloadTime)
-	fairCount := e.warmupFraction(c) * c.Weight * accepted / max(weight, c.Weight)
-	return c.recentAttempts.At(e.now, e.settings.OverloadTime) < 1+fairCount
+	acceptableAttempts := e.warmCapacityShare(c) * c.Weight * accepted / max(weight, c.Weight)
+	return c.recentAttempts.At(e.now, e.settings.OverloadTime) < 1+acceptableAttempts
 }
 
 // slowStartHash maps a key to [0, 1). A warming cache gets the key if the result is below its share.
 func slowStartHash(key uint64) float64 { return hashToUnit(mix(key) + 1) }
 
-// avoidsWarming reports whether a request must not go to a warming cache, because it has been attempted
-// before or its key is hot. During a fault, retries are most of the traffic, and all of them look for spare
-// capacity.
-func (e *Engine) avoidsWarming(req *request) bool {
+// mustAvoidWarmingCaches reports whether a request must not go to a warming cache, because it has been
+// attempted before or its key is hot. During a fault, retries are most of the traffic, and all of them look
+// for spare capacity.
+func (e *Engine) mustAvoidWarmingCaches(req *request) bool {
 	return len(req.attempts) > 0 || e.replicaCount(req.Key) > 1
 }
 
@@ -58,8 +58,8 @@
 // show the share.
 func (e *Engine) mayBeHotKey(key uint64, weight, share float64) bool {
 	fleetWeight := e.meanWeight * float64(len(e.inService))
-	fairCount := float64(e.requestCounts.Total()) * weight / fleetWeight
-	limit := fairCount * share * max(1, (e.settings.OverloadMultiple-1)/2)
+	expectedRequests := float64(e.requestCounts.Total()) * weight / fleetWeight
+	limit := expectedRequests * share * max(1, (e.settings.OverloadMultiple-1)/2)
 	count := e.keyCounts.Total(key)
 	if count == 1 {
 		limit *= math.E
@@ -82,7 +82,7 @@
 
 // slowStartShare returns the share of its keys that a warming cache gets: what it can serve by now, and less
 // in overload.
-func (e *Engine) slowStartShare(c *cache) float64 { return e.warmupFraction(c) * e.overloadFactor() }
+func (e *Engine) slowStartShare(c *cache) float64 { return e.warmCapacityShare(c) * e.overloadFactor() }
 
 // overloadFactor returns the factor by which overload lowers the slow start's share: the share of attempts
 // that warm caches serve in time, or half of OverloadMultiple times that if it is more.
@@ -90,9 +90,9 @@
 	return min(1, e.goodputRatio*max(1, e.settings.OverloadMultiple/2))
 }
 
-// warmupFraction returns the assumed capacity of a cache as a share of its capacity when warm. It grows
+// warmCapacityShare returns the assumed capacity of a cache as a share of its capacity when warm. It grows
 // linearly from WarmupStartShare to 1 over the warm-up time.
-func (e *Engine) warmupFraction(c *cache) float64 {
+func (e *Engine) warmCapacityShare(c *cache) float64 {
 	if e.now >= c.warmAt {
 		return 1
 	}
