--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -43,9 +43,9 @@
 	l.limited.Store(limit.PerSecond > 0)
 }
 
-// rejection counts a request against the limit. It returns nil if the request is admitted, or otherwise the reply
-// that rejects it.
-func (l *requestLimiter) rejection() []byte {
+// admitOrReject counts a request against the limit. It returns nil if the request is admitted, or otherwise the
+// reply that rejects it.
+func (l *requestLimiter) admitOrReject() []byte {
 	if !l.limited.Load() || l.limiter.Allow() {
 		return nil
 	}
--- a/internal/router/client_commands.go
+++ b/internal/router/client_commands.go
@@ -64,7 +64,7 @@
 
 // handleRequest passes a C.GET or C.SET to the event loop, or rejects it.
 func (c *clientConn) handleRequest(raw []byte, arrivedAt policy.Time) connState {
-	if reply := c.srv.loop.limiter.rejection(); reply != nil {
+	if reply := c.srv.loop.limiter.admitOrReject(); reply != nil {
 		c.srv.loop.noteRejectedUnparsed(c, rejectOverloaded)
 		return c.reply(reply)
 	}
--- a/internal/router/event_loop.go
+++ b/internal/router/event_loop.go
@@ -71,8 +71,8 @@
 	nextWatchFailureLog policy.Time        // time before which failed watches are not logged
 	cancelWatch         context.CancelFunc // cancels the open watch
 
-	discoveryMoves       int                  // number of moves to another discovery service
-	lastListMoves        int                  // discoveryMoves of the watch that sent the last list
+	discoveryGeneration  int                  // incremented when discovery moves to another service
+	lastListGeneration   int                  // discoveryGeneration of the watch that sent the last list
 	replacedWatchCancels []context.CancelFunc // cancel the watches of replaced services that still run, oldest first
 }
 
--- a/internal/router/watch.go
+++ b/internal/router/watch.go
@@ -30,7 +30,7 @@
 	l.watching = true
 	ctx, cancel := context.WithCancel(l.ctx)
 	l.cancelWatch = cancel
-	w := watch{l.discovery, l.discoveryMoves}
+	w := watch{l.discovery, l.discoveryGeneration}
 	go func(version int64) {
 		defer cancel()
 		l.runWatch(ctx, w, version)
@@ -39,8 +39,8 @@
 
 // watch is a series of calls to one discovery service.
 type watch struct {
-	client         *discovery.Client
-	discoveryMoves int // number of moves to another service before the watch began
+	client              *discovery.Client
+	discoveryGeneration int // the event loop's when the watch began
 }
 
 // runWatch runs a watch until it fails. Unlike the other methods, it runs in its own goroutine.
@@ -53,11 +53,11 @@
 
 // listReceived applies a list, unless a newer service than the one that sent it has already sent a list.
 func (l *eventLoop) listReceived(w watch, list discovery.EndpointList) {
-	if w.discoveryMoves < l.lastListMoves {
+	if w.discoveryGeneration < l.lastListGeneration {
 		return
 	}
-	l.lastListMoves = w.discoveryMoves
-	if w.discoveryMoves < l.discoveryMoves {
+	l.lastListGeneration = w.discoveryGeneration
+	if w.discoveryGeneration < l.discoveryGeneration {
 		l.applyReplacedEndpoints(list)
 		return
 	}
@@ -67,7 +67,7 @@
 
 // watchEnded handles the end of a watch. It ignores the failure of a watch at a replaced service.
 func (l *eventLoop) watchEnded(w watch, err error) {
-	if w.discoveryMoves < l.discoveryMoves {
+	if w.discoveryGeneration < l.discoveryGeneration {
 		w.client.CloseIdleConnections()
 		return
 	}
@@ -138,7 +138,7 @@
 	l.startTimes.noteContactLost()
 	l.discovery.CloseIdleConnections()
 	l.discovery = newDiscoveryClient(cfg)
-	l.discoveryMoves++
+	l.discoveryGeneration++
 	l.watching = false
 	l.watchBackoff.Reset()
 	l.discoveryMovedAt = l.now
