--- a/internal/scaletest/figures.go
+++ b/internal/scaletest/figures.go
@@ -25,12 +25,12 @@
 	for group := firstRealGroup; group < groupCount; group++ {
 		r.addRealRouter(group)
 	}
-	r.addControl()
+	r.addControlTraffic()
 	r.addHollowRouters()
 	r.addConnectedServers()
 	r.addDiscovery()
 	r.addStandIns()
-	r.listNotMeasured()
+	r.addNotMeasuredNotes()
 	return result
 }
 
@@ -108,9 +108,9 @@
 	return float64(microseconds) / microsecondsPerMillisecond
 }
 
-// addControl derives the cost of the control traffic to one router. The cost of its health checks is the
-// processor time that the loaded router uses beyond one that makes none.
-func (r *reporter) addControl() {
+// addControlTraffic derives the cost of the control traffic to one router. The cost of its health checks is
+// the processor time that the loaded router uses beyond one that makes none.
+func (r *reporter) addControlTraffic() {
 	checking := r.Value(roleLoaded, figureProcessorTime) - r.Value(roleNoHealthChecks, figureProcessorTime)
 	total := r.Value(roleIdle, figureProcessorTime) + max(0, checking)
 	bytes := r.Value(roleLoaded, figureListBytes) + r.Value(roleLoaded, figureHealthCheckBytes)
@@ -199,8 +199,8 @@
 	r.add(roleStandIns, "messages to opened caches that went wrong", unitPerSecond, r.rate(failures, 1), basisMeasured)
 }
 
-// listNotMeasured adds notes on what the figures do not cover.
-func (r *reporter) listNotMeasured() {
+// addNotMeasuredNotes adds notes on what the figures do not cover.
+func (r *reporter) addNotMeasuredNotes() {
 	p := r.point
 	r.NotMeasured = []string{
 		"bytes of TCP and IP, and of handshakes: bytes are what the sockets carried",
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -78,17 +78,17 @@
 type Fleet struct {
 	Done chan struct{} // closed when all active routers are done
 
-	spec       FleetSpec
-	settings   policy.Settings
-	transport  settings.Transport
-	initial    *discovery.EndpointList
-	routers    []*hollowRouter
-	ctx        context.Context
-	cancel     context.CancelFunc
-	unfinished atomic.Int64   // active routers that are not done
-	undrained  sync.WaitGroup // routers that have not finished draining
-	mirrors    sync.WaitGroup
-	listCache  endpointListCache
+	spec        FleetSpec
+	settings    policy.Settings
+	transport   settings.Transport
+	initialList *discovery.EndpointList
+	routers     []*hollowRouter
+	ctx         context.Context
+	cancel      context.CancelFunc
+	unfinished  atomic.Int64   // active routers that are not done
+	undrained   sync.WaitGroup // routers that have not finished draining
+	mirrors     sync.WaitGroup
+	listCache   endpointListCache
 
 	// Traffic with the discovery service.
 	endpoints, bytesIn, bytesOut atomic.Int64
@@ -110,7 +110,7 @@
 	if f.settings, f.transport, err = settings.Parse(spec.Settings); err != nil {
 		return nil, err
 	}
-	if f.initial, err = f.listCache.parse(spec.InitialEndpoints); err != nil {
+	if f.initialList, err = f.listCache.parse(spec.InitialEndpoints); err != nil {
 		return nil, err
 	}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
@@ -146,7 +146,7 @@
 // Stats returns the counters so far. It resets the histogram behind LatenessP99.
 func (f *Fleet) Stats() FleetStats {
 	stats := FleetStats{
-		CacheServers:   make([]CacheStats, len(f.initial.Endpoints)),
+		CacheServers:   make([]CacheStats, len(f.initialList.Endpoints)),
 		Endpoints:      f.endpoints.Load(),
 		DiscoveryBytes: f.bytesIn.Load(),
 	}
--- a/internal/scaletest/hollow_router.go
+++ b/internal/scaletest/hollow_router.go
@@ -53,7 +53,7 @@
 		client:           newDiscoveryClient(f),
 		requests:         map[int64]*request{},
 		poolsByName:      map[string]*pool{},
-		endpointsVersion: f.initial.Version,
+		endpointsVersion: f.initialList.Version,
 		maxConns:         (f.spec.RouterDescriptors - routerReservedDescriptors) * serverShareNumerator / serverShareDenominator,
 	}
 	settings := f.settings
@@ -80,9 +80,9 @@
 }
 
 func (h *hollowRouter) createPools() {
-	initial := h.fleet.initial
-	for position, endpoint := range initial.Endpoints {
-		p := newPool(h, position, endpoint.ID, initial.Addresses[position])
+	list := h.fleet.initialList
+	for position, endpoint := range list.Endpoints {
+		p := newPool(h, position, endpoint.ID, list.Addresses[position])
 		h.pools = append(h.pools, p)
 		h.poolsByName[endpoint.ID] = p
 	}
@@ -136,7 +136,7 @@
 func (h *hollowRouter) notify(event policy.Event) { h.pendingEvents = append(h.pendingEvents, event) }
 
 func (h *hollowRouter) start() {
-	h.notify(&policy.EndpointsUpdate{Kind: policy.UpdateStale, Endpoints: h.fleet.initial.Endpoints})
+	h.notify(&policy.EndpointsUpdate{Kind: policy.UpdateStale, Endpoints: h.fleet.initialList.Endpoints})
 	if !h.fleet.settings.WatchRequired {
 		h.startWatch()
 	}
--- a/internal/scaletest/worker.go
+++ b/internal/scaletest/worker.go
@@ -44,8 +44,8 @@
 
 // worker runs one of the stand-ins.
 type worker interface {
-	// ready returns the worker's first reply, which tells the parent process that the worker is ready.
-	ready() any
+	// readyReply returns the worker's first reply, which tells the parent process that the worker is ready.
+	readyReply() any
 	// handle executes a command and returns the reply.
 	handle(command workerCommand) any
 }
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	reply := w.ready()
+	reply := w.readyReply()
 	for {
 		if err := encoder.Encode(reply); err != nil {
 			return err
@@ -93,7 +93,7 @@
 
 type cacheServersWorker struct{ servers *CacheServers }
 
-func (w cacheServersWorker) ready() any               { return w.servers.Addrs }
+func (w cacheServersWorker) readyReply() any          { return w.servers.Addrs }
 func (w cacheServersWorker) handle(workerCommand) any { return w.servers.Stats() }
 
 type discoveryWorker struct {
@@ -113,7 +113,7 @@
 	return discoveryWorker{agent: agent, groups: spec.Groups}, nil
 }
 
-func (w discoveryWorker) ready() any {
+func (w discoveryWorker) readyReply() any {
 	reply := discoveryReady{Addrs: w.agent.Addrs}
 	for group := range w.groups {
 		reply.Endpoints = append(reply.Endpoints, w.agent.Snapshot(group))
@@ -140,5 +140,5 @@
 	return fleetWorker{fleet}, err
 }
 
-func (w fleetWorker) ready() any               { return len(w.fleet.routers) }
+func (w fleetWorker) readyReply() any          { return len(w.fleet.routers) }
 func (w fleetWorker) handle(workerCommand) any { return w.fleet.Stats() }
