--- a/internal/router/arrival_test.go
+++ b/internal/router/arrival_test.go
@@ -99,7 +99,7 @@
 	reader := &commandReader{
 		conn:  &clientConn{srv: &Server{memory: newMemoryBudget(192)}},
 		buf:   make([]byte, 0, minReadBuffer),
-		ahead: readAhead{bytes: []byte(getCommand("r1")), notBefore: notBefore, lastReadAt: readUntil},
+		ahead: readAhead{bytes: []byte(getCommand("r1")), notBefore: notBefore, lastFilledAt: readUntil},
 	}
 	if !reader.takeReadAhead() || reader.arrival.earliest != notBefore {
 		t.Errorf("commands read ahead count from %d, want %d", reader.arrival.earliest, notBefore)
--- a/internal/router/read_ahead.go
+++ b/internal/router/read_ahead.go
@@ -14,9 +14,9 @@
 
 // readAhead holds bytes that were read before the commands in front of them could be handled.
 type readAhead struct {
-	bytes      []byte
-	notBefore  policy.Time // earliest time at which the first of them may have arrived
-	lastReadAt policy.Time // when the last of them was read
+	bytes        []byte
+	notBefore    policy.Time // earliest time at which the first of them may have arrived
+	lastFilledAt policy.Time // when fillReadAhead last read
 }
 
 // fillReadAhead reads what has arrived while the reply queue is full. Left unread, the bytes would fill the
@@ -26,9 +26,9 @@
 	memory := r.conn.srv.memory
 	if len(r.ahead.bytes) == 0 {
 		// Bytes that had arrived by the last read were returned by it.
-		r.ahead.notBefore = max(r.arrival.lastReadAt, r.ahead.lastReadAt)
+		r.ahead.notBefore = max(r.arrival.lastReadAt, r.ahead.lastFilledAt)
 	}
-	r.ahead.lastReadAt = r.conn.srv.loop.clock()
+	r.ahead.lastFilledAt = r.conn.srv.loop.clock()
 	for r.conn.nc.MayHaveUnread() {
 		if len(r.ahead.bytes) >= maxReadAhead || !memory.tryAcquire(readAheadStep) {
 			return false
@@ -53,7 +53,7 @@
 	}
 	n := copy(r.buf[len(r.buf):cap(r.buf)], r.ahead.bytes)
 	r.buf = r.buf[:len(r.buf)+n]
-	r.arrival = arrivalTime{earliest: r.ahead.notBefore, lastReadAt: r.ahead.lastReadAt}
+	r.arrival = arrivalTime{earliest: r.ahead.notBefore, lastReadAt: r.ahead.lastFilledAt}
 	r.ahead.bytes = r.ahead.bytes[n:]
 	if len(r.ahead.bytes) == 0 {
 		r.dropReadAhead()
--- a/internal/scaletest/hollow_router.go
+++ b/internal/scaletest/hollow_router.go
@@ -80,9 +80,9 @@
 }
 
 func (h *hollowRouter) createPools() {
-	list := h.fleet.initialList
-	for position, endpoint := range list.Endpoints {
-		p := newPool(h, position, endpoint.ID, list.Addresses[position])
+	initialList := h.fleet.initialList
+	for position, endpoint := range initialList.Endpoints {
+		p := newPool(h, position, endpoint.ID, initialList.Addresses[position])
 		h.pools = append(h.pools, p)
 		h.poolsByName[endpoint.ID] = p
 	}
