--- a/internal/faulttest/faulttest.go
+++ b/internal/faulttest/faulttest.go
@@ -16,7 +16,8 @@
 	minStall      = 30 * time.Millisecond // shortest gap between two readings that counts as a stall
 )
 
-// ErrNoAnswer is returned for input that is neither a bulk string nor a status or error line.
+// ErrNoAnswer reports data that is not an answer of a router: neither a bulk string of a valid length nor a line
+// that begins with + or -.
 var ErrNoAnswer = errors.New("neither a bulk string nor a line")
 
 // ReadAnswer reads one answer of a router. It returns the content of a bulk string, or a status or error line
