--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -15,10 +15,10 @@
 	costRequestRate          = 25       // requests of a router in a second
 	costServiceTime          = 20 * ms  // of an attempt
 	costTimeout              = 500 * ms // of a request
-	costPlayTime             = 6000 * ms
-	costGrowth               = 1.4                  // by which the time of a decision may grow with the caches, ...
+	costSimulatedTime        = 6000 * ms
+	costGrowthLimit          = 1.4                  // by which the time of a decision may grow with the caches, ...
 	costAllowance            = 4 * time.Millisecond // ... and what is allowed beside it, for each second
-	costRepeats              = 3
+	costRuns                 = 3
 	costOverloadTime    Time = 1500 * ms
 	costWarmupTime      Time = 9000 * ms
 	costRequestInterval Time = 1000 * ms / costRequestRate
@@ -58,7 +58,7 @@
 	for _, state := range costStates() {
 		t.Run(state.name, func(t *testing.T) {
 			few, many := measureCost(t, fewCaches, state), measureCost(t, manyCaches, state)
-			allowed := time.Duration(costGrowth*float64(few)) + raceSlowdown*costAllowance
+			allowed := time.Duration(costGrowthLimit*float64(few)) + raceSlowdown*costAllowance
 			t.Logf("%v a second before %d caches, %v before %d, %v allowed", few, fewCaches, many, manyCaches, allowed)
 			if many > allowed {
 				t.Errorf("decisions before %d caches take %v a second, %v allowed", manyCaches, many, allowed)
@@ -71,26 +71,26 @@
 func measureCost(t *testing.T, caches int, state costState) time.Duration {
 	t.Helper()
 	least := time.Duration(0)
-	for range costRepeats {
-		p := newCostPlay(t, caches, state)
-		p.run()
-		if perSecond := p.spent / time.Duration(costPlayTime/(1000*ms)); least == 0 || perSecond < least {
+	for range costRuns {
+		s := newCostSimulation(t, caches, state)
+		s.run()
+		if perSecond := s.engineTime / time.Duration(costSimulatedTime/(1000*ms)); least == 0 || perSecond < least {
 			least = perSecond
 		}
 	}
 	return least
 }
 
-// costPlay plays requests through an engine and measures the time that it takes for them.
-type costPlay struct {
-	engine *Engine
-	state  costState
-	number map[string]int // of each cache
-	rng    *rand.Rand
-	now    Time
-	due    costQueue
-	spent  time.Duration
-	lastID int64
+// costSimulation plays requests through an engine and measures the time that it takes for them.
+type costSimulation struct {
+	engine     *Engine
+	state      costState
+	index      map[string]int // of each cache
+	rng        *rand.Rand
+	now        Time
+	queue      costQueue
+	engineTime time.Duration
+	lastID     int64
 }
 
 func costSettings(caches int) Settings {
@@ -103,83 +103,83 @@
 	return settings
 }
 
-func newCostPlay(t testing.TB, caches int, state costState) *costPlay {
+func newCostSimulation(t testing.TB, caches int, state costState) *costSimulation {
 	t.Helper()
 	engine, err := New(costSettings(caches), testHarnessSeed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &costPlay{
-		engine: engine, state: state, number: map[string]int{}, rng: rand.New(rand.NewPCG(1, 2)), now: testStart,
+	s := &costSimulation{
+		engine: engine, state: state, index: map[string]int{}, rng: rand.New(rand.NewPCG(1, 2)), now: testStart,
 	}
 	var endpoints []Endpoint
 	for i := range caches {
 		endpoint := Endpoint{ID: fmt.Sprintf("c%04d", i), Zone: string(rune('a' + i%3)), Group: i % 4, Weight: 1}
 		if state.justStarted {
-			endpoint.StartedAt = p.now
+			endpoint.StartedAt = s.now
 		}
-		p.number[endpoint.ID] = i
+		s.index[endpoint.ID] = i
 		endpoints = append(endpoints, endpoint)
 	}
-	p.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: endpoints})
-	p.spent = 0
-	return p
+	s.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: endpoints})
+	s.engineTime = 0
+	return s
 }
 
-func (p *costPlay) run() {
-	for end := p.now + costPlayTime; p.now < end; {
-		p.advance(costRequestInterval)
-		p.request()
+func (s *costSimulation) run() {
+	for end := s.now + costSimulatedTime; s.now < end; {
+		s.advance(costRequestInterval)
+		s.request()
 	}
 }
 
 // request hands the engine a request for a key of its own.
-func (p *costPlay) request() {
-	p.lastID++
-	p.handle(&Request{ID: p.lastID, Class: "read", Key: p.rng.Uint64(), HasKey: true, Deadline: p.now + costTimeout})
+func (s *costSimulation) request() {
+	s.lastID++
+	s.handle(&Request{ID: s.lastID, Class: "read", Key: s.rng.Uint64(), HasKey: true, Deadline: s.now + costTimeout})
 }
 
 // advance moves the clock and hands the engine what becomes due.
-func (p *costPlay) advance(span Time) {
-	end := p.now + span
-	for len(p.due) > 0 && p.due[0].at <= end {
-		next := heap.Pop(&p.due).(costEvent)
-		p.now = max(p.now, next.at)
-		p.handle(next.event)
+func (s *costSimulation) advance(span Time) {
+	end := s.now + span
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		next := heap.Pop(&s.queue).(costEvent)
+		s.now = max(s.now, next.at)
+		s.handle(next.event)
 	}
-	p.now = end
+	s.now = end
 }
 
 // handle hands the engine an event, and notes what follows from its actions.
-func (p *costPlay) handle(event Event) {
-	begun := time.Now()
-	actions := p.engine.Handle(p.now, event)
-	p.spent += time.Since(begun)
+func (s *costSimulation) handle(event Event) {
+	start := time.Now()
+	actions := s.engine.Handle(s.now, event)
+	s.engineTime += time.Since(start)
 	for _, action := range actions {
 		switch action := action.(type) {
 		case SetTimer:
-			heap.Push(&p.due, costEvent{action.At, &TimerFired{action.Token}})
+			heap.Push(&s.queue, costEvent{action.At, &TimerFired{action.Token}})
 		case Send:
-			p.attempt(action)
+			s.attempt(action)
 		case HealthCheck:
-			heap.Push(&p.due, costEvent{p.now + ms, &HealthCheckDone{Cache: action.Cache, Result: Served, Load: noLoadReport}})
+			heap.Push(&s.queue, costEvent{s.now + ms, &HealthCheckDone{Cache: action.Cache, Result: Served, Load: noLoadReport}})
 		}
 	}
 }
 
 // attempt ends an attempt as the state of the fleet has it.
-func (p *costPlay) attempt(send Send) {
-	result := p.state.result(p.number[send.Cache])
-	at := p.now + costServiceTime
+func (s *costSimulation) attempt(send Send) {
+	result := s.state.result(s.index[send.Cache])
+	at := s.now + costServiceTime
 	switch result {
 	case Rejected, ConnectFailed:
-		at = p.now + ms
+		at = s.now + ms
 	case TimedOut:
 		at = send.Deadline
 	}
-	attempt := len(p.engine.requests[send.ID].attempts) - 1
-	heap.Push(&p.due, costEvent{at, &AttemptDone{
-		ID: send.ID, Attempt: attempt, Result: result, Elapsed: at - p.now, Final: result == Served, Load: noLoadReport,
+	attempt := len(s.engine.requests[send.ID].attempts) - 1
+	heap.Push(&s.queue, costEvent{at, &AttemptDone{
+		ID: send.ID, Attempt: attempt, Result: result, Elapsed: at - s.now, Final: result == Served, Load: noLoadReport,
 	}})
 }
 
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,7 +7,7 @@
 )
 
 // Draining and removed caches get no requests, and a cache that is listed in service again does.
-func TestDrainingCacheGetsNothing(t *testing.T) {
+func TestDrainingCacheGetsNoRequests(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: testEndpoints(2)})
 	h.handle(&EndpointsUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{ID: "c00", State: Draining}}})
--- a/policy/fleet_limits_test.go
+++ b/policy/fleet_limits_test.go
@@ -60,7 +60,7 @@
 
 // Time tokens that routers save for a cache while they have no keys for it must not be spent by all of them at
 // once when keys move there.
-func TestFleetSavesLittleTimeForCache(t *testing.T) {
+func TestFleetTimeTokensAreBounded(t *testing.T) {
 	atOnce, later := 0, 0
 	for _, h := range newRouterFleet(t, 1) {
 		h.advance(5000 * ms)
@@ -80,7 +80,7 @@
 
 // To one router of many, verdicts on other caches must not outweigh what it learnt of a cache itself: they lower
 // a limit to the initial one at most, and do not raise a reduced one.
-func TestSharedVerdictsStopAtInitialLimit(t *testing.T) {
+func TestSharedAdjustmentsStopAtInitialLimit(t *testing.T) {
 	engine := newRouterFleet(t, 12)[0].engine
 	high, low := engine.caches["c00"], engine.caches["c01"]
 	initial := engine.initialLimit(high)
--- a/policy/golden_caches_test.go
+++ b/policy/golden_caches_test.go
@@ -18,12 +18,12 @@
 
 // goldenCache is a cache server of a timeline.
 type goldenCache struct {
-	listed   policy.Endpoint // as it is in the endpoint list
-	nominal  float64         // weight without load
-	stored   map[uint64]bool
-	inFlight int
-	fault    goldenFault
-	slowdown float64 // factor of its service time
+	listed        policy.Endpoint // as it is in the endpoint list
+	nominalWeight float64         // weight without load
+	storedKeys    map[uint64]bool
+	inFlight      int
+	fault         goldenFault
+	slowdown      float64 // factor of its service time
 }
 
 // goldenRequest is a request that the engine has got.
@@ -32,25 +32,25 @@
 	key       uint64
 	deadline  policy.Time
 	streaming bool
-	over      bool
+	done      bool
 	attempts  []*goldenAttempt
 }
 
 // goldenAttempt is an attempt that the engine has sent.
 type goldenAttempt struct {
 	cache   *goldenCache
-	sent    policy.Time
+	sentAt  policy.Time
 	pending bool
 }
 
 // addCache adds a random cache server to the endpoint list.
 func (t *goldenTimeline) addCache(id string) *goldenCache {
-	cache := &goldenCache{nominal: []float64{1, 1, 2, 0.5}[t.rng.IntN(4)], stored: map[uint64]bool{}, slowdown: 1}
+	cache := &goldenCache{nominalWeight: []float64{1, 1, 2, 0.5}[t.rng.IntN(4)], storedKeys: map[uint64]bool{}, slowdown: 1}
 	cache.listed = policy.Endpoint{
 		ID:     id,
 		Zone:   string(rune('a' + t.rng.IntN(3))),
 		Group:  t.rng.IntN(4),
-		Weight: cache.nominal,
+		Weight: cache.nominalWeight,
 	}
 	if t.rng.IntN(4) == 0 {
 		cache.listed.StartedAt = t.now - policy.Time(t.rng.IntN(10_000))*millisecond
@@ -60,8 +60,8 @@
 	return cache
 }
 
-// send plays an attempt at a cache server.
-func (t *goldenTimeline) send(a policy.Send) {
+// startAttempt plays an attempt at a cache server.
+func (t *goldenTimeline) startAttempt(a policy.Send) {
 	t.totals.sends++
 	request, cache := t.requests[a.ID], t.byID[a.Cache]
 	for _, earlier := range request.attempts {
@@ -70,48 +70,48 @@
 			break
 		}
 	}
-	number := len(request.attempts)
-	request.attempts = append(request.attempts, &goldenAttempt{cache: cache, sent: t.now, pending: true})
+	index := len(request.attempts)
+	request.attempts = append(request.attempts, &goldenAttempt{cache: cache, sentAt: t.now, pending: true})
 	cache.inFlight++
 	result, took, miss := t.outcome(request, cache)
 	if took < 0 || t.now+policy.Time(took) >= a.Deadline {
-		t.at(a.Deadline, func() { t.end(request, number, policy.TimedOut, false) })
+		t.at(a.Deadline, func() { t.finishAttempt(request, index, policy.TimedOut, false) })
 		return
 	}
 	if request.streaming && result == policy.Served {
 		t.after(took/2, func() {
-			if request.attempts[number].pending && !request.over {
-				t.handle(&policy.ResponseStarted{ID: request.id, Attempt: number})
+			if request.attempts[index].pending && !request.done {
+				t.handle(&policy.ResponseStarted{ID: request.id, Attempt: index})
 			}
 		})
 	}
-	t.after(took, func() { t.end(request, number, result, miss) })
+	t.after(took, func() { t.finishAttempt(request, index, result, miss) })
 }
 
 // outcome draws how an attempt ends and when; a negative time stands for no answer.
 func (t *goldenTimeline) outcome(
 	request *goldenRequest, cache *goldenCache,
 ) (result policy.Result, took float64, miss bool) {
-	fast := float64(millisecond)
+	shortTime := float64(millisecond)
 	if result, took, failed := t.faultOutcome(cache.fault); failed {
 		return result, took, false
 	}
 	if cache.listed.State != policy.InService || cache.inFlight > 12 {
-		return policy.Rejected, fast, false
+		return policy.Rejected, shortTime, false
 	}
 	switch t.rng.IntN(300) {
 	case 0:
-		return policy.NotStored, fast, false
+		return policy.NotStored, shortTime, false
 	case 1:
-		return policy.NotSent, fast, false
+		return policy.NotSent, shortTime, false
 	case 2:
-		return policy.ConnectionLost, fast, false
+		return policy.ConnectionLost, shortTime, false
 	}
-	took = (0.2 + t.rng.ExpFloat64()) * t.service * cache.slowdown * (1 + float64(cache.inFlight)/4)
-	if miss = !cache.stored[request.key]; miss {
-		took += (0.5 + t.rng.ExpFloat64()) * t.missTime
+	took = (0.2 + t.rng.ExpFloat64()) * t.meanHitTime * cache.slowdown * (1 + float64(cache.inFlight)/4)
+	if miss = !cache.storedKeys[request.key]; miss {
+		took += (0.5 + t.rng.ExpFloat64()) * t.meanOriginTime
 		if t.originDown {
-			took += 5 * t.missTime
+			took += 5 * t.meanOriginTime
 			if t.rng.IntN(3) == 0 {
 				return policy.ServerError, took, false
 			}
@@ -122,45 +122,45 @@
 
 // faultOutcome draws how an attempt at a cache server with a fault ends; failed is false where it is not affected.
 func (t *goldenTimeline) faultOutcome(fault goldenFault) (result policy.Result, took float64, failed bool) {
-	fast := float64(millisecond)
+	shortTime := float64(millisecond)
 	switch fault {
 	case faultHang:
 		return policy.TimedOut, -1, true
 	case faultUnreachable:
-		return policy.ConnectFailed, fast * float64(1+t.rng.IntN(250)), true
+		return policy.ConnectFailed, shortTime * float64(1+t.rng.IntN(250)), true
 	case faultReset:
-		return policy.ConnectionLost, fast * float64(1+t.rng.IntN(50)), true
+		return policy.ConnectionLost, shortTime * float64(1+t.rng.IntN(50)), true
 	case faultErrors:
-		return policy.ServerError, fast * float64(1+t.rng.IntN(50)), true
+		return policy.ServerError, shortTime * float64(1+t.rng.IntN(50)), true
 	case faultReject:
-		return policy.Rejected, fast, true
+		return policy.Rejected, shortTime, true
 	}
 	return policy.Served, 0, false
 }
 
-// end ends an attempt, unless it has ended.
-func (t *goldenTimeline) end(request *goldenRequest, number int, result policy.Result, miss bool) {
-	attempt := request.attempts[number]
+// finishAttempt ends an attempt, unless it has ended.
+func (t *goldenTimeline) finishAttempt(request *goldenRequest, index int, result policy.Result, miss bool) {
+	attempt := request.attempts[index]
 	if !attempt.pending {
 		return
 	}
 	attempt.pending = false
 	attempt.cache.inFlight--
 	if result == policy.Served {
-		request.over = true
-		attempt.cache.stored[request.key] = true
+		request.done = true
+		attempt.cache.storedKeys[request.key] = true
 	}
 	if miss {
 		t.totals.misses++
 	}
-	t.handle(&policy.AttemptDone{ID: request.id, Attempt: number, Result: result, Elapsed: t.now - attempt.sent,
-		Final: request.over, Miss: miss, Load: policy.LoadReport{Utilization: t.rng.Float64(), ErrorRate: t.rng.Float64()}})
+	t.handle(&policy.AttemptDone{ID: request.id, Attempt: index, Result: result, Elapsed: t.now - attempt.sentAt,
+		Final: request.done, Miss: miss, Load: policy.LoadReport{Utilization: t.rng.Float64(), ErrorRate: t.rng.Float64()}})
 }
 
-// check plays a health check.
-func (t *goldenTimeline) check(cache *goldenCache) {
+// checkHealth plays a health check.
+func (t *goldenTimeline) checkHealth(cache *goldenCache) {
 	sent := t.now
-	result, took := policy.Served, t.rng.ExpFloat64()*t.service*cache.slowdown
+	result, took := policy.Served, t.rng.ExpFloat64()*t.meanHitTime*cache.slowdown
 	switch cache.fault {
 	case faultHang:
 		return // the engine counts it by a timer of its own
--- a/policy/golden_faults_test.go
+++ b/policy/golden_faults_test.go
@@ -6,8 +6,8 @@
 	"marlstage/policy"
 )
 
-// endpoints returns what is listed.
-func (t *goldenTimeline) endpoints() []policy.Endpoint {
+// listedEndpoints returns what is listed.
+func (t *goldenTimeline) listedEndpoints() []policy.Endpoint {
 	var endpoints []policy.Endpoint
 	for _, cache := range t.caches {
 		if cache.listed.State != policy.Removed {
@@ -19,7 +19,7 @@
 
 // deliver gives the engine an endpoint update, if it watches.
 func (t *goldenTimeline) deliver(kind policy.UpdateKind, endpoints []policy.Endpoint) {
-	if t.watching && !t.discoveryOff {
+	if t.watching && !t.discoveryDown {
 		t.handle(&policy.EndpointsUpdate{Kind: kind, Endpoints: endpoints})
 	}
 }
@@ -27,25 +27,25 @@
 // watch answers a Watch action after a while.
 func (t *goldenTimeline) watch() {
 	t.after(float64(20*millisecond), func() {
-		if t.discoveryOff {
+		if t.discoveryDown {
 			t.watching = false
 			t.handle(&policy.EndpointsUpdate{Kind: policy.UpdateFailed})
 			return
 		}
 		t.watching = true
-		t.deliver(policy.UpdateSnapshot, t.endpoints())
+		t.deliver(policy.UpdateSnapshot, t.listedEndpoints())
 	})
 }
 
-// change notifies the engine of a change to one cache server, with the delay of discovery.
-func (t *goldenTimeline) change(cache *goldenCache) {
+// announceChange notifies the engine of a change to one cache server, with the delay of discovery.
+func (t *goldenTimeline) announceChange(cache *goldenCache) {
 	t.after(float64(t.rng.IntN(500))*float64(millisecond), func() {
 		t.deliver(policy.UpdateDelta, []policy.Endpoint{cache.listed})
 	})
 }
 
-// renewWeights delivers live weights, which present load has lowered.
-func (t *goldenTimeline) renewWeights() {
+// updateWeights delivers live weights, which present load has lowered.
+func (t *goldenTimeline) updateWeights() {
 	var changed []policy.Endpoint
 	for _, cache := range t.caches {
 		if cache.listed.State == policy.Removed {
@@ -55,17 +55,17 @@
 		if t.overloaded {
 			load += 20 + 4*t.rng.Float64()
 		}
-		cache.listed.Weight = cache.nominal / (1 + load)
+		cache.listed.Weight = cache.nominalWeight / (1 + load)
 		changed = append(changed, cache.listed)
 	}
 	if len(changed) > 0 {
 		t.deliver(policy.UpdateDelta, changed)
 	}
-	t.after(float64(second)*(0.5+t.rng.Float64()), t.renewWeights)
+	t.after(float64(second)*(0.5+t.rng.Float64()), t.updateWeights)
 }
 
-// playFault plays a random fault or change and schedules the next.
-func (t *goldenTimeline) playFault() {
+// injectFault plays a random fault or change and schedules the next.
+func (t *goldenTimeline) injectFault() {
 	cache := t.caches[t.rng.IntN(len(t.caches))]
 	duration := t.rng.ExpFloat64() * 4 * float64(second)
 	switch t.rng.IntN(11) {
@@ -82,7 +82,7 @@
 	case 7:
 		t.restart(cache)
 	case 8:
-		t.change(t.addCache(fmt.Sprintf("cache-new-%d", len(t.caches))))
+		t.announceChange(t.addCache(fmt.Sprintf("cache-new-%d", len(t.caches))))
 	case 9:
 		t.stopDiscovery(duration)
 	case 10:
@@ -91,9 +91,9 @@
 		t.after(duration, func() { t.rate = rate })
 	}
 	if t.rng.IntN(10) == 0 {
-		t.deliver(policy.UpdateSnapshot, t.endpoints())
+		t.deliver(policy.UpdateSnapshot, t.listedEndpoints())
 	}
-	t.after(t.rng.ExpFloat64()*t.faultGap*float64(second), t.playFault)
+	t.after(t.rng.ExpFloat64()*t.meanFaultInterval*float64(second), t.injectFault)
 }
 
 // breakZone makes all cache servers of a zone unreachable.
@@ -107,12 +107,12 @@
 
 // stopDiscovery makes discovery unreachable, which breaks a watch that the settings require.
 func (t *goldenTimeline) stopDiscovery(duration float64) {
-	t.discoveryOff = true
+	t.discoveryDown = true
 	if t.watching && t.settings.WatchRequired {
 		t.watching = false
 		t.handle(&policy.EndpointsUpdate{Kind: policy.UpdateFailed})
 	}
-	t.after(duration, func() { t.discoveryOff = false })
+	t.after(duration, func() { t.discoveryDown = false })
 }
 
 // breakCache gives a cache server a fault.
@@ -128,7 +128,7 @@
 func (t *goldenTimeline) setState(cache *goldenCache, state policy.EndpointState) {
 	if cache.listed.State != policy.Removed {
 		cache.listed.State = state
-		t.change(cache)
+		t.announceChange(cache)
 	}
 }
 
@@ -138,6 +138,6 @@
 		return
 	}
 	cache.listed.State, cache.listed.StartedAt = policy.InService, t.now
-	cache.stored, cache.fault = map[uint64]bool{}, faultNone
-	t.change(cache)
+	cache.storedKeys, cache.fault = map[uint64]bool{}, faultNone
+	t.announceChange(cache)
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -42,7 +42,7 @@
 		for block := range goldenBlocks {
 			t.Run(fmt.Sprint(block), func(t *testing.T) {
 				t.Parallel()
-				lines[block] = playGoldenBlock(t, block)
+				lines[block] = runGoldenBlock(t, block)
 			})
 		}
 	})
@@ -64,8 +64,8 @@
 	}
 }
 
-// playGoldenBlock plays the timelines of one block and returns its line of the golden file.
-func playGoldenBlock(t *testing.T, block int) string {
+// runGoldenBlock plays the timelines of one block and returns its line of the golden file.
+func runGoldenBlock(t *testing.T, block int) string {
 	t.Helper()
 	digest := sha256.New()
 	totals := goldenTotals{}
@@ -75,7 +75,7 @@
 		if err != nil {
 			t.Fatalf("timeline %d: %v", seed, err)
 		}
-		timeline.play()
+		timeline.run()
 		totals.add(timeline.totals)
 	}
 	return fmt.Sprintf("block=%d %s sha256=%x\n", block, totals, digest.Sum(nil))
@@ -115,22 +115,22 @@
 	sequence int
 	totals   goldenTotals
 
-	caches       []*goldenCache
-	byID         map[string]*goldenCache
-	requests     map[int64]*goldenRequest
-	keys         *rand.Zipf
-	service      float64 // mean time of a hit, in microseconds
-	missTime     float64 // mean time that the origin adds, in microseconds
-	originDown   bool
-	rate         float64 // requests a second
-	left         int     // requests still to come
-	hotKey       uint64
-	hotShare     float64
-	watching     bool
-	discoveryOff bool
-	faultGap     float64 // mean seconds between faults
-	restartable  bool
-	overloaded   bool // other routers overload the cache servers, as live weights show
+	caches            []*goldenCache
+	byID              map[string]*goldenCache
+	requests          map[int64]*goldenRequest
+	keys              *rand.Zipf
+	meanHitTime       float64 // mean time of a hit, in microseconds
+	meanOriginTime    float64 // mean time that the origin adds, in microseconds
+	originDown        bool
+	rate              float64 // requests a second
+	requestsLeft      int     // requests still to come
+	hotKey            uint64
+	hotShare          float64
+	watching          bool
+	discoveryDown     bool
+	meanFaultInterval float64 // mean seconds between faults
+	restartable       bool
+	overloaded        bool // other routers overload the cache servers, as live weights show
 }
 
 // newGoldenTimeline draws a timeline from a seed; its actions go to the digest.
@@ -138,23 +138,23 @@
 	rng := rand.New(rand.NewPCG(seed, 0x60_1d_e2))
 	timeline := &goldenTimeline{
 		rng: rng, digest: digest, now: goldenStart, byID: map[string]*goldenCache{},
-		requests: map[int64]*goldenRequest{},
-		settings: goldenSettings(rng, goldenRouterCounts[seed%uint64(len(goldenRouterCounts))]),
-		keys:     rand.NewZipf(rng, 1.05+rng.Float64(), 1+9*rng.Float64(), uint64(1+rng.IntN(2_000))),
-		service:  math.Exp(rng.Float64()*4) * float64(2*millisecond),
-		missTime: math.Exp(rng.Float64()*3) * float64(10*millisecond),
-		rate:     math.Exp(1 + rng.Float64()*4.5),
-		left:     60 + rng.IntN(300),
-		hotKey:   rng.Uint64(),
+		requests:       map[int64]*goldenRequest{},
+		settings:       goldenSettings(rng, goldenRouterCounts[seed%uint64(len(goldenRouterCounts))]),
+		keys:           rand.NewZipf(rng, 1.05+rng.Float64(), 1+9*rng.Float64(), uint64(1+rng.IntN(2_000))),
+		meanHitTime:    math.Exp(rng.Float64()*4) * float64(2*millisecond),
+		meanOriginTime: math.Exp(rng.Float64()*3) * float64(10*millisecond),
+		rate:           math.Exp(1 + rng.Float64()*4.5),
+		requestsLeft:   60 + rng.IntN(300),
+		hotKey:         rng.Uint64(),
 	}
 	if rng.IntN(3) == 0 {
 		timeline.hotShare = 0.4 * rng.Float64()
 	}
 	if rng.IntN(10) == 0 { // health checks that this router's requests hardly earn
-		timeline.settings.HealthCheckCost, timeline.rate, timeline.left = 1, 3, 400
+		timeline.settings.HealthCheckCost, timeline.rate, timeline.requestsLeft = 1, 3, 400
 	}
 	timeline.overloaded = rng.IntN(4) == 0
-	timeline.faultGap = math.Exp(rng.Float64()*4 - 2)
+	timeline.meanFaultInterval = math.Exp(rng.Float64()*4 - 2)
 	timeline.restartable = rng.IntN(2) == 0
 	engine, err := policy.New(timeline.settings, rng.Uint64())
 	if err != nil {
@@ -210,24 +210,24 @@
 // after schedules an event; span is in microseconds.
 func (t *goldenTimeline) after(span float64, run func()) { t.at(t.now+policy.Time(span), run) }
 
-// play runs the timeline until goldenDrainAfter after the last request.
-func (t *goldenTimeline) play() {
-	t.handle(&policy.EndpointsUpdate{Kind: policy.UpdateStale, Endpoints: t.endpoints()})
+// run runs the timeline until goldenDrainAfter after the last request.
+func (t *goldenTimeline) run() {
+	t.handle(&policy.EndpointsUpdate{Kind: policy.UpdateStale, Endpoints: t.listedEndpoints()})
 	if !t.settings.WatchRequired {
 		t.watching = true
-		t.after(float64(millisecond), func() { t.deliver(policy.UpdateSnapshot, t.endpoints()) })
+		t.after(float64(millisecond), func() { t.deliver(policy.UpdateSnapshot, t.listedEndpoints()) })
 	}
 	t.after(0, t.arrive)
-	t.after(t.rng.ExpFloat64()*t.faultGap*float64(second), t.playFault)
+	t.after(t.rng.ExpFloat64()*t.meanFaultInterval*float64(second), t.injectFault)
 	if t.settings.LiveWeights {
-		t.after(float64(second), t.renewWeights)
+		t.after(float64(second), t.updateWeights)
 	}
 	end := policy.Time(math.MaxInt64)
 	for len(t.queue) > 0 && t.queue[0].at < end {
 		event := heap.Pop(&t.queue).(goldenEvent)
 		t.now = event.at
 		event.run()
-		if t.left == 0 && end == math.MaxInt64 {
+		if t.requestsLeft == 0 && end == math.MaxInt64 {
 			end = t.now + goldenDrainAfter
 		}
 	}
@@ -240,8 +240,8 @@
 	}
 }
 
-// note adds a line to the digest.
-func (t *goldenTimeline) note(format string, arguments ...any) {
+// record adds a line to the digest.
+func (t *goldenTimeline) record(format string, arguments ...any) {
 	line := fmt.Sprintf("%d ", t.now) + fmt.Sprintf(format, arguments...) + "\n"
 	t.digest.Write([]byte(line))
 }
@@ -250,45 +250,45 @@
 func (t *goldenTimeline) perform(action policy.Action) {
 	switch a := action.(type) {
 	case policy.Send:
-		t.note("send %d %s %d %d", a.ID, a.Cache, a.Deadline, a.StartBefore)
-		t.send(a)
+		t.record("send %d %s %d %d", a.ID, a.Cache, a.Deadline, a.StartBefore)
+		t.startAttempt(a)
 	case policy.Cancel:
-		t.note("cancel %d %d", a.ID, a.Attempt)
+		t.record("cancel %d %d", a.ID, a.Attempt)
 		t.totals.cancels++
 		if request := t.requests[a.ID]; request != nil {
-			t.after(100, func() { t.end(request, a.Attempt, policy.Cancelled, false) })
+			t.after(100, func() { t.finishAttempt(request, a.Attempt, policy.Cancelled, false) })
 		}
 	case policy.Reject:
-		t.note("reject %d %d", a.ID, a.RetryAfter)
+		t.record("reject %d %d", a.ID, a.RetryAfter)
 		t.totals.rejects++
-		t.requests[a.ID].over = true
+		t.requests[a.ID].done = true
 	case policy.Fail:
-		t.note("fail %d", a.ID)
+		t.record("fail %d", a.ID)
 		t.totals.fails++
-		t.requests[a.ID].over = true
+		t.requests[a.ID].done = true
 	case policy.SetTimer:
-		t.note("timer %d %d", a.Token, a.At)
+		t.record("timer %d %d", a.Token, a.At)
 		t.at(a.At, func() { t.handle(&policy.TimerFired{Token: a.Token}) })
 	case policy.HealthCheck:
-		t.note("check %s", a.Cache)
+		t.record("check %s", a.Cache)
 		t.totals.checks++
-		t.check(t.byID[a.Cache])
+		t.checkHealth(t.byID[a.Cache])
 	case policy.CloseIdleConnections:
-		t.note("close %s", a.Cache)
+		t.record("close %s", a.Cache)
 		t.totals.closes++
 	case policy.Watch:
-		t.note("watch")
+		t.record("watch")
 		t.totals.watches++
 		t.watch()
 	case policy.Log:
 	default:
-		t.note("unknown %T", action)
+		t.record("unknown %T", action)
 	}
 }
 
 // arrive gives the engine a request and schedules the next one.
 func (t *goldenTimeline) arrive() {
-	t.left--
+	t.requestsLeft--
 	t.totals.requests++
 	class := t.settings.Classes[t.class()]
 	request := &goldenRequest{id: int64(t.totals.requests), key: t.keys.Uint64() * 0x9e3779b97f4a7c15,
@@ -316,13 +316,13 @@
 	t.handle(event)
 	if t.rng.IntN(30) == 0 {
 		t.after(t.rng.ExpFloat64()*float64(class.LatencyObjective), func() {
-			if !request.over {
-				request.over = true
+			if !request.done {
+				request.done = true
 				t.handle(&policy.ClientGone{ID: request.id})
 			}
 		})
 	}
-	if t.left > 0 {
+	if t.requestsLeft > 0 {
 		t.after(t.rng.ExpFloat64()*float64(second)/t.rate, t.arrive)
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -168,10 +168,10 @@
 	return h.handle(&AttemptDone{ID: id, Attempt: attempt, Result: result, Final: final, Load: noLoadReport})
 }
 
-// playHealthCheckRounds plays rounds of health checks. The faulty cache answers with result, or not at all where
+// runHealthCheckRounds plays rounds of health checks. The faulty cache answers with result, or not at all where
 // result is nil; all others serve.
-func (h *engineHarness) playHealthCheckRounds(count int, faulty string, result *Result) {
-	for played := 0; played < count; {
+func (h *engineHarness) runHealthCheckRounds(count int, faulty string, result *Result) {
+	for completed := 0; completed < count; {
 		checked := healthChecks(h.advance(1 * ms))
 		if len(checked) == 0 {
 			continue
@@ -184,7 +184,7 @@
 				h.handle(&HealthCheckDone{Cache: id, Result: *result, Load: noLoadReport})
 			}
 		}
-		played++
+		completed++
 		h.advance(h.engine.settings.HealthCheckTimeout() + ms)
 	}
 }
--- a/policy/health_size_test.go
+++ b/policy/health_burst_test.go
@@ -11,7 +11,7 @@
 	const caches = 1000
 	for name, c := range map[string]struct {
 		requests int // in an interval
-		most     int // checks at once
+		burst    int // checks at once
 	}{
 		"few requests":  {0, minCheckBurst},
 		"many requests": {700, 700},
@@ -35,7 +35,7 @@
 				}
 			}
 			id := int64(0)
-			rounds := 1 + (caches+c.most-1)/c.most
+			rounds := 1 + (caches+c.burst-1)/c.burst
 			for range rounds {
 				for range c.requests {
 					id++
@@ -43,8 +43,8 @@
 				}
 				h.advance(settings.HealthCheckInterval())
 			}
-			if atOnce != c.most {
-				t.Errorf("%d checks at once, want %d", atOnce, c.most)
+			if atOnce != c.burst {
+				t.Errorf("%d checks at once, want %d", atOnce, c.burst)
 			}
 			if len(checked) != caches {
 				t.Errorf("%d of %d caches are checked in %d rounds", len(checked), caches, rounds)
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -17,15 +17,15 @@
 	for _, result := range results {
 		h := newEngineHarness(t, testSettings())
 		h.handle(&EndpointsUpdate{Kind: UpdateStale, Endpoints: testEndpoints(4)})
-		h.playHealthCheckRounds(unhealthyThreshold-1, "c01", result)
+		h.runHealthCheckRounds(unhealthyThreshold-1, "c01", result)
 		if !h.engine.caches["c01"].healthy {
 			t.Fatalf("%v: unhealthy after %d failures", result, unhealthyThreshold-1)
 		}
-		h.playHealthCheckRounds(1, "c01", result)
+		h.runHealthCheckRounds(1, "c01", result)
 		if h.engine.caches["c01"].healthy {
 			t.Fatalf("%v: still healthy after %d failures", result, unhealthyThreshold)
 		}
-		h.playHealthCheckRounds(1, "", nil)
+		h.runHealthCheckRounds(1, "", nil)
 		if c := h.engine.caches["c01"]; !c.healthy || c.failedChecks != 0 {
 			t.Fatalf("%v: not healthy after a success", result)
 		}
@@ -36,7 +36,7 @@
 func TestHealthIsUpdatedWhenRoundCompletes(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	h.handle(&EndpointsUpdate{Kind: UpdateStale, Endpoints: testEndpoints(3)})
-	h.playHealthCheckRounds(unhealthyThreshold-1, "c01", resultPointer(ServerError))
+	h.runHealthCheckRounds(unhealthyThreshold-1, "c01", resultPointer(ServerError))
 	h.advanceToHealthChecks()
 	h.handle(&HealthCheckDone{Cache: "c01", Result: ServerError})
 	if !h.engine.caches["c01"].healthy {
@@ -121,10 +121,10 @@
 }
 
 // A router that has no file descriptor left for a health check must not take the cache for unhealthy.
-func TestUnsentHealthCheckIsNoFailure(t *testing.T) {
+func TestUnsentHealthCheckIsNotCountedAsFailure(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: testEndpoints(3)})
-	h.playHealthCheckRounds(3*unhealthyThreshold, "c01", resultPointer(NotSent))
+	h.runHealthCheckRounds(3*unhealthyThreshold, "c01", resultPointer(NotSent))
 	if c := h.engine.caches["c01"]; !c.healthy || c.failedChecks > 0 {
 		t.Errorf("healthy is %v after health checks that were not sent, %d count as failed", c.healthy, c.failedChecks)
 	}
@@ -143,9 +143,9 @@
 // stepsPerInterval is into how many steps playIntervals divides a health check interval.
 const stepsPerInterval = 10
 
-// playIntervals lets health check intervals go by in steps and calls checked with the caches that are checked in
+// runHealthCheckIntervals lets health check intervals go by in steps and calls checked with the caches that are checked in
 // each step.
-func (h *engineHarness) playIntervals(count int, checked func(step int, caches []string)) {
+func (h *engineHarness) runHealthCheckIntervals(count int, checked func(step int, caches []string)) {
 	for step := range count * stepsPerInterval {
 		h.earnHealthCheckRound()
 		actions := h.advance(h.engine.settings.HealthCheckInterval() / stepsPerInterval)
@@ -163,7 +163,7 @@
 // countHealthChecks plays health check intervals without answering, and counts the health checks of one cache.
 func (h *engineHarness) countHealthChecks(intervals int, cache string) int {
 	count := 0
-	h.playIntervals(intervals, func(_ int, caches []string) {
+	h.runHealthCheckIntervals(intervals, func(_ int, caches []string) {
 		for _, id := range caches {
 			count += boolToInt(id == cache)
 		}
@@ -180,7 +180,7 @@
 		total := 0.
 		for i := range routers {
 			h := newHealthCheckHarness(t, routers, 1, uint64(i))
-			h.playIntervals(intervals, func(step int, caches []string) {
+			h.runHealthCheckIntervals(intervals, func(step int, caches []string) {
 				checksByStep[step] += float64(len(caches))
 				total += float64(len(caches))
 				h.answerHealthChecks(caches)
@@ -209,7 +209,7 @@
 func TestSuspectIsCheckedInNextRound(t *testing.T) {
 	for _, result := range []Result{TimedOut, ConnectionLost, ServerError, ConnectFailed} {
 		h := newHealthCheckHarness(t, 2800, 8, 3)
-		h.playIntervals(2, func(_ int, caches []string) { h.answerHealthChecks(caches) })
+		h.runHealthCheckIntervals(2, func(_ int, caches []string) { h.answerHealthChecks(caches) })
 		suspect := h.request(1, "read", 1).Cache
 		if result == TimedOut {
 			h.advance(100 * ms) // overdue
@@ -222,7 +222,7 @@
 				result, checks, h.engine.caches[suspect].failedChecks)
 		}
 		// It fails them, so each round checks it until it is unhealthy; its first answer makes it healthy again.
-		h.playIntervals(unhealthyThreshold, func(int, []string) {})
+		h.runHealthCheckIntervals(unhealthyThreshold, func(int, []string) {})
 		if h.engine.caches[suspect].healthy {
 			t.Errorf("result %d: a cache that fails its health checks is healthy", result)
 		}
@@ -242,7 +242,7 @@
 	c := h.engine.caches["c00"]
 	checks := 0
 	const intervals = 120
-	h.playIntervals(intervals, func(_ int, caches []string) {
+	h.runHealthCheckIntervals(intervals, func(_ int, caches []string) {
 		c.suspect = true
 		checks += len(caches)
 		h.answerHealthChecks(caches)
@@ -251,7 +251,7 @@
 		t.Errorf("%d health checks of a suspect that answers them all, want 4 to %d", checks, limit)
 	}
 	// Once it is no suspect any more, its next regular health check resets the count.
-	h.playIntervals(2*2800/maxFleetChecks, func(_ int, caches []string) {
+	h.runHealthCheckIntervals(2*2800/maxFleetChecks, func(_ int, caches []string) {
 		c.suspect = false
 		h.answerHealthChecks(caches)
 	})
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -123,7 +123,7 @@
 
 // A router of a large fleet learns of a surge from each cache separately, so a verdict on one cache counts in part
 // for all.
-func TestVerdictsAreSharedInPart(t *testing.T) {
+func TestLimitAdjustmentsAreSharedInPart(t *testing.T) {
 	h := newTrafficHarness(t, 12, nil)
 	for _, c := range h.engine.caches {
 		c.concurrencyLimit *= 2
@@ -165,7 +165,7 @@
 
 // A cache that stalls now and then rejects the few requests that come meanwhile; it must not lose its share of the
 // load for good.
-func TestRejectionByIdleCacheCostsNoLimit(t *testing.T) {
+func TestRejectionByIdleCacheDoesNotLowerLimit(t *testing.T) {
 	h := newTrafficHarness(t, 8, nil)
 	primary := h.request(1, "read", 42).Cache
 	c := h.engine.caches[primary]
--- a/policy/log_test.go
+++ b/policy/log_test.go
@@ -8,8 +8,8 @@
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: testEndpoints(2)})
 	c := h.engine.caches["c01"]
 	for _, line := range []struct {
-		want  string
-		cause func()
+		want    string
+		trigger func()
 	}{
 		{"cache health changed cache=c01 healthy=false failed_checks=2", func() {
 			c.failedChecks = unhealthyThreshold
@@ -32,7 +32,7 @@
 		{"load shedding active=false cache_full=0 origin_full=0", func() { h.engine.rotateCounts() }},
 	} {
 		h.engine.actions = nil
-		line.cause()
+		line.trigger()
 		if got := logText(h.engine.actions); got != line.want {
 			t.Errorf("logged %q, want %q", got, line.want)
 		}
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -30,7 +30,7 @@
 }
 
 // A late likely miss counts against the origin only if the cache answers its hits in time.
-func TestLateMissLowersLimitOfOriginOrCache(t *testing.T) {
+func TestLateMissLowersOriginOrCacheLimit(t *testing.T) {
 	for _, onTime := range []bool{true, false} {
 		h := newTrafficHarness(t, 1, nil)
 		c := h.engine.caches["c00"]
@@ -137,7 +137,7 @@
 
 // For one router of many nearly every request is a likely miss. A cache that hangs must lose its limit all the
 // same, instead of the origin, if the origin served another cache meanwhile.
-func TestSilentCacheLosesLimitWhileOriginServes(t *testing.T) {
+func TestSilentCacheLimitFallsWhileOriginServes(t *testing.T) {
 	for _, serves := range []bool{true, false} {
 		h := newTrafficHarness(t, 8, nil)
 		silent := h.request(1, "read", 1).Cache
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	testReportSpan  Time = 100 * ms
-	testOwnCapacity      = 50 // requests that a router of the tests can handle in a report's time
+	testReportInterval Time = 100 * ms
+	testReportCapacity      = 50 // requests that a router of the tests can handle in a report's time
 )
 
-// report gives the engine a report and returns the limit that it sets; ok is false if it sets none.
-func (h *engineHarness) report(delay Time, taken, rejected int) (limit LimitRequests, ok bool) {
-	h.now += testReportSpan
-	for _, action := range h.handle(&DelayReport{Interval: testReportSpan, MinDelay: delay, Handled: taken, Rejected: rejected}) {
+// reportDelay gives the engine a delay report and returns the limit that it sets; ok is false if it sets none.
+func (h *engineHarness) reportDelay(delay Time, handled, rejected int) (limit LimitRequests, ok bool) {
+	h.now += testReportInterval
+	for _, action := range h.handle(&DelayReport{Interval: testReportInterval, MinDelay: delay, Handled: handled, Rejected: rejected}) {
 		if set, isLimit := action.(LimitRequests); isLimit {
 			limit, ok = set, true
 		}
@@ -21,38 +21,38 @@
 	return limit, ok
 }
 
-// TestRouterThatIsBehindTakesFewerRequests checks when the limit on requests is set, moved and taken away.
-func TestRouterThatIsBehindTakesFewerRequests(t *testing.T) {
+// TestDelayLimitsRequests checks when the limit on requests is set, moved and taken away.
+func TestDelayLimitsRequests(t *testing.T) {
 	h := newTrafficHarness(t, 3, nil)
-	behind := h.engine.overloadDelay()
-	if _, ok := h.report(behind, 100, 0); ok {
+	overloadDelay := h.engine.overloadDelay()
+	if _, ok := h.reportDelay(overloadDelay, 100, 0); ok {
 		t.Error("a limit without a delay beyond the bound")
 	}
-	h.report(behind+1, 100, 0)
-	first, ok := h.report(behind+1, 100, 0)
+	h.reportDelay(overloadDelay+1, 100, 0)
+	first, ok := h.reportDelay(overloadDelay+1, 100, 0)
 	if !ok || first.PerSecond >= 1000*maxDecreaseFactor || first.PerSecond < 999*maxDecreaseFactor || first.RetryAfter != 200*ms {
 		t.Errorf("limit %+v, want most of the 1,000 requests a second that were taken", first)
 	}
 	if !strings.Contains(logText(h.actions), "router overloaded active=true") {
 		t.Error("the overload is not logged")
 	}
-	if second, _ := h.report(10*behind, 200, 0); second.PerSecond != first.PerSecond*minDecreaseFactor {
+	if second, _ := h.reportDelay(10*overloadDelay, 200, 0); second.PerSecond != first.PerSecond*minDecreaseFactor {
 		t.Errorf("limit %v behind %v, though the router is far behind", second.PerSecond, first.PerSecond)
 	}
 	for range 100 {
-		h.report(behind+1, 0, 10)
+		h.reportDelay(overloadDelay+1, 0, 10)
 	}
-	floor, _ := h.report(behind+1, 0, 10)
-	if floor.PerSecond != minRequestRate {
-		t.Errorf("limit %v, want %v at least", floor.PerSecond, minRequestRate)
+	minimum, _ := h.reportDelay(overloadDelay+1, 0, 10)
+	if minimum.PerSecond != minRequestRate {
+		t.Errorf("limit %v, want %v at least", minimum.PerSecond, minRequestRate)
 	}
-	if grown, _ := h.report(0, 1, 10); grown.PerSecond <= floor.PerSecond {
-		t.Errorf("limit %v behind %v, though the router has caught up", grown.PerSecond, floor.PerSecond)
+	if raised, _ := h.reportDelay(0, 1, 10); raised.PerSecond <= minimum.PerSecond {
+		t.Errorf("limit %v behind %v, though the router has caught up", raised.PerSecond, minimum.PerSecond)
 	}
-	if none, ok := h.report(0, 1, 0); !ok || none.PerSecond != 0 {
-		t.Errorf("limit %v that rejects nothing", none.PerSecond)
+	if removed, ok := h.reportDelay(0, 1, 0); !ok || removed.PerSecond != 0 {
+		t.Errorf("limit %v that rejects nothing", removed.PerSecond)
 	}
-	if _, ok := h.report(0, 1, 0); ok {
+	if _, ok := h.reportDelay(0, 1, 0); ok {
 		t.Error("a limit is set without need")
 	}
 }
@@ -63,7 +63,7 @@
 	h := newTrafficHarness(t, 3, nil)
 	for range 20 {
 		for _, delay := range []Time{150 * ms, 0} {
-			if limit, ok := h.report(delay, 1, 0); ok {
+			if limit, ok := h.reportDelay(delay, 1, 0); ok {
 				t.Fatalf("limit %v though the router has caught up with each stall", limit.PerSecond)
 			}
 		}
@@ -74,59 +74,59 @@
 // what it can, and to be without a limit soon after.
 func TestGoodputBeyondCapacity(t *testing.T) {
 	const (
-		offered  = 4 * testOwnCapacity // in a report's time
-		reports  = 200
-		settling = 20 // reports until the limit is about right
-		recovery = 20 // reports, 2 s
+		offered         = 4 * testReportCapacity // in a report's time
+		measuredReports = 200
+		settlingReports = 20 // reports until the limit is about right
+		recoveryReports = 20 // reports, 2 s
 	)
 	h := newTrafficHarness(t, 3, nil)
 	limit, backlog, handled := float64(0), 0.0, 0.0
-	play := func(offered float64) {
-		taken := offered
+	playReport := func(offered float64) {
+		accepted := offered
 		if limit > 0 {
-			taken = min(taken, limit*float64(testReportSpan)/microsPerSecond)
+			accepted = min(accepted, limit*float64(testReportInterval)/microsPerSecond)
 		}
-		backlog += taken
-		done := min(backlog, testOwnCapacity)
+		backlog += accepted
+		done := min(backlog, testReportCapacity)
 		backlog -= done
 		handled += done
-		delay := Time(backlog / testOwnCapacity * float64(testReportSpan))
-		if set, ok := h.report(delay, int(done), int(offered-taken)); ok {
+		delay := Time(backlog / testReportCapacity * float64(testReportInterval))
+		if set, ok := h.reportDelay(delay, int(done), int(offered-accepted)); ok {
 			limit = set.PerSecond
 		}
 	}
-	for range settling {
-		play(offered)
+	for range settlingReports {
+		playReport(offered)
 	}
 	handled = 0
-	for range reports {
-		play(offered)
+	for range measuredReports {
+		playReport(offered)
 	}
-	if share := handled / (reports * testOwnCapacity); share < 0.8 {
+	if share := handled / (measuredReports * testReportCapacity); share < 0.8 {
 		t.Errorf("%.2f of its capacity is used in overload", share)
 	}
-	for range recovery {
-		play(testOwnCapacity / 2)
+	for range recoveryReports {
+		playReport(testReportCapacity / 2)
 	}
 	if limit > 0 || backlog > 0 {
 		t.Errorf("limit %v and backlog %v after the overload", limit, backlog)
 	}
 }
 
-// TestRequestThatCanNotBeAnsweredInTimeIsRejected checks that a router which handles everything late starts
+// TestRequestThatCannotBeAnsweredInTimeIsRejected checks that a router which handles everything late starts
 // nothing whose reply it would handle behind the deadline.
-func TestRequestThatCanNotBeAnsweredInTimeIsRejected(t *testing.T) {
+func TestRequestThatCannotBeAnsweredInTimeIsRejected(t *testing.T) {
 	h := newTrafficHarness(t, 3, nil)
-	h.report(testTimeout, 10, 0)
+	h.reportDelay(testTimeout, 10, 0)
 	if h.request(1, "once", 1) != nil || countFinalAnswers(h.actions) != 1 {
 		t.Error("a request is sent whose reply would come late")
 	}
-	h.report(testTimeout-1, 10, 0)
+	h.reportDelay(testTimeout-1, 10, 0)
 	if h.request(2, "once", 2) == nil {
 		t.Error("a request that can be answered in time is not sent")
 	}
-	h.report(testTimeout, 10, 0)
-	h.advance(delayReportLifetime * testReportSpan)
+	h.reportDelay(testTimeout, 10, 0)
+	h.advance(delayReportLifetime * testReportInterval)
 	if h.request(3, "once", 3) == nil {
 		t.Error("a request is rejected for a delay of long ago")
 	}
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -6,44 +6,44 @@
 	"testing"
 )
 
-// answerGrace is how long after the deadline a final answer is still in time.
-const answerGrace = 20 * ms
+// finalAnswerGrace is how long after the deadline a final answer is still in time.
+const finalAnswerGrace = 20 * ms
 
 // Random events never make an engine break the rules that invariantChecker checks.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range int64(150) {
-		playRandomEvents(t, seed, 1500)
+		runRandomEvents(t, seed, 1500)
 	}
 }
 
 // The engine is deterministic: equal events give equal actions.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	for seed := range int64(10) {
-		if !reflect.DeepEqual(playRandomEvents(t, seed, 1000), playRandomEvents(t, seed, 1000)) {
+		if !reflect.DeepEqual(runRandomEvents(t, seed, 1000), runRandomEvents(t, seed, 1000)) {
 			t.Fatalf("seed %d: two runs differ", seed)
 		}
 	}
 }
 
-// playRandomEvents gives an engine a random stream of events drawn from seed, checks every action and returns all
+// runRandomEvents gives an engine a random stream of events drawn from seed, checks every action and returns all
 // of them.
-func playRandomEvents(t *testing.T, seed int64, steps int) []Action {
-	player := newRandomPlayer(t, seed)
-	player.updateEndpoints(UpdateStale, testEndpoints(player.rng.Intn(8)))
+func runRandomEvents(t *testing.T, seed int64, steps int) []Action {
+	source := newRandomEventSource(t, seed)
+	source.updateEndpoints(UpdateStale, testEndpoints(source.rng.Intn(8)))
 	for id := int64(1); id < int64(steps); id++ {
-		player.harness.advance(Time(player.rng.Intn(20 * ms)))
-		player.step(id)
+		source.harness.advance(Time(source.rng.Intn(20 * ms)))
+		source.step(id)
 	}
-	for id, req := range player.checker.requests {
-		if !req.done && player.harness.now > req.deadline+answerGrace {
+	for id, req := range source.checker.requests {
+		if !req.done && source.harness.now > req.deadline+finalAnswerGrace {
 			t.Fatalf("seed %d: request %d lost", seed, id)
 		}
 	}
-	return player.actions
+	return source.actions
 }
 
-// randomPlayer draws random events and gives them to an engine.
-type randomPlayer struct {
+// randomEventSource draws random events and gives them to an engine.
+type randomEventSource struct {
 	rng     *rand.Rand
 	harness *engineHarness
 	checker *invariantChecker
@@ -51,21 +51,21 @@
 	actions []Action // all so far
 }
 
-func newRandomPlayer(t *testing.T, seed int64) *randomPlayer {
+func newRandomEventSource(t *testing.T, seed int64) *randomEventSource {
 	rng := rand.New(rand.NewSource(seed))
 	settings := randomSettings(rng)
 	h := newEngineHarness(t, settings)
-	player := &randomPlayer{
+	source := &randomEventSource{
 		rng: rng, harness: h, checker: newInvariantChecker(h, settings), classes: map[string]Class{},
 	}
 	for _, class := range settings.Classes {
-		player.classes[class.Name] = class
+		source.classes[class.Name] = class
 	}
 	h.observe = func(actions []Action) {
-		player.checker.check(actions)
-		player.actions = append(player.actions, actions...)
+		source.checker.check(actions)
+		source.actions = append(source.actions, actions...)
 	}
-	return player
+	return source
 }
 
 func randomSettings(rng *rand.Rand) Settings {
@@ -80,81 +80,81 @@
 }
 
 // step plays one random event; a request gets the given ID.
-func (p *randomPlayer) step(id int64) {
-	switch percent := p.rng.Intn(100); {
+func (s *randomEventSource) step(id int64) {
+	switch percent := s.rng.Intn(100); {
 	case percent < 50:
-		p.sendRequest(id)
+		s.sendRequest(id)
 	case percent < 53:
-		p.cancelRequest(id)
+		s.disconnectClient(id)
 	case percent < 58:
-		p.changeEndpoint()
+		s.changeEndpoint()
 	case percent < 59:
-		p.updateEndpoints(UpdateKind(1+p.rng.Intn(2)), testEndpoints(p.rng.Intn(10)))
+		s.updateEndpoints(UpdateKind(1+s.rng.Intn(2)), testEndpoints(s.rng.Intn(10)))
 	case percent < 60:
-		p.harness.handle(&EndpointsUpdate{Kind: UpdateFailed})
+		s.harness.handle(&EndpointsUpdate{Kind: UpdateFailed})
 	case percent < 66:
-		p.harness.handle(&HealthCheckDone{Cache: testEndpoints(10)[p.rng.Intn(10)].ID, Result: Result(p.rng.Intn(6)),
-			Load: LoadReport{Utilization: p.rng.Float64()}})
+		s.harness.handle(&HealthCheckDone{Cache: testEndpoints(10)[s.rng.Intn(10)].ID, Result: Result(s.rng.Intn(6)),
+			Load: LoadReport{Utilization: s.rng.Float64()}})
 	default:
-		p.finishAttempt(id)
+		s.finishAttempt(id)
 	}
 }
 
 // sendRequest plays a new request of a random class; reads are the most frequent.
-func (p *randomPlayer) sendRequest(id int64) {
-	names := []string{"read", "read", "read", "all", "zone", "cell", "once", "unheard-of"}
-	name := names[p.rng.Intn(len(names))]
-	deadline := p.harness.now + Time(p.rng.Intn(900*ms)) - 20*ms
-	p.checker.requests[id] = &checkedRequest{class: p.classes[name], deadline: deadline}
-	p.harness.handle(&Request{ID: id, Class: name, Tenant: []string{"x", "y", ""}[p.rng.Intn(3)],
-		Key: uint64(p.rng.Intn(40)), HasKey: p.rng.Intn(9) > 0, Deadline: deadline, Cost: Time(p.rng.Intn(60 * ms))})
+func (s *randomEventSource) sendRequest(id int64) {
+	names := []string{"read", "read", "read", "all", "zone", "cell", "once", "unknown"}
+	name := names[s.rng.Intn(len(names))]
+	deadline := s.harness.now + Time(s.rng.Intn(900*ms)) - 20*ms
+	s.checker.requests[id] = &checkedRequest{class: s.classes[name], deadline: deadline}
+	s.harness.handle(&Request{ID: id, Class: name, Tenant: []string{"x", "y", ""}[s.rng.Intn(3)],
+		Key: uint64(s.rng.Intn(40)), HasKey: s.rng.Intn(9) > 0, Deadline: deadline, Cost: Time(s.rng.Intn(60 * ms))})
 }
 
-// cancelRequest has the client of a recent request disconnect.
-func (p *randomPlayer) cancelRequest(id int64) {
-	gone := id - 1 - int64(p.rng.Intn(20))
-	if req := p.checker.requests[gone]; req != nil {
+// disconnectClient has the client of a recent request disconnect.
+func (s *randomEventSource) disconnectClient(id int64) {
+	gone := id - 1 - int64(s.rng.Intn(20))
+	if req := s.checker.requests[gone]; req != nil {
 		req.done = true
 	}
-	p.harness.handle(&ClientGone{ID: gone})
+	s.harness.handle(&ClientGone{ID: gone})
 }
 
 // changeEndpoint updates one endpoint: its state, or its start.
-func (p *randomPlayer) changeEndpoint() {
-	endpoint := testEndpoints(10)[p.rng.Intn(10)]
-	endpoint.State = EndpointState(p.rng.Intn(3))
-	if p.rng.Intn(2) == 0 {
-		endpoint.State, endpoint.StartedAt = InService, p.harness.now-Time(p.rng.Intn(12000*ms))
+func (s *randomEventSource) changeEndpoint() {
+	endpoint := testEndpoints(10)[s.rng.Intn(10)]
+	endpoint.State = EndpointState(s.rng.Intn(3))
+	if s.rng.Intn(2) == 0 {
+		endpoint.State, endpoint.StartedAt = InService, s.harness.now-Time(s.rng.Intn(12000*ms))
 	}
-	p.updateEndpoints(UpdateDelta, []Endpoint{endpoint})
+	s.updateEndpoints(UpdateDelta, []Endpoint{endpoint})
 }
 
 // updateEndpoints gives the engine an endpoint update and the checker what it says.
-func (p *randomPlayer) updateEndpoints(kind UpdateKind, endpoints []Endpoint) {
-	p.checker.noteEndpoints(kind, endpoints)
-	p.harness.handle(&EndpointsUpdate{Kind: kind, Endpoints: endpoints})
+func (s *randomEventSource) updateEndpoints(kind UpdateKind, endpoints []Endpoint) {
+	s.checker.recordEndpoints(kind, endpoints)
+	s.harness.handle(&EndpointsUpdate{Kind: kind, Endpoints: endpoints})
 }
 
 // finishAttempt ends a pending attempt of a recent request.
-func (p *randomPlayer) finishAttempt(id int64) {
+func (s *randomEventSource) finishAttempt(id int64) {
 	for back := int64(1); back < 60 && back < id; back++ {
-		req := p.checker.requests[id-back]
+		req := s.checker.requests[id-back]
 		if req == nil {
 			continue
 		}
 		for i := range req.attempts {
-			if !req.attempts[i].pending || p.rng.Intn(3) == 0 {
+			if !req.attempts[i].pending || s.rng.Intn(3) == 0 {
 				continue
 			}
-			result := Result(p.rng.Intn(int(NotStored) + 1))
-			if p.rng.Intn(2) == 0 {
+			result := Result(s.rng.Intn(int(NotStored) + 1))
+			if s.rng.Intn(2) == 0 {
 				result = Served
 			}
 			req.attempts[i].pending, req.attempts[i].result = false, result
 			req.done = req.done || result == Served
-			p.harness.handle(&AttemptDone{ID: id - back, Attempt: i, Result: result,
-				Elapsed: p.harness.now - req.attempts[i].sentAt, Final: req.done,
-				Load: LoadReport{Utilization: p.rng.Float64()*2 - 1}})
+			s.harness.handle(&AttemptDone{ID: id - back, Attempt: i, Result: result,
+				Elapsed: s.harness.now - req.attempts[i].sentAt, Final: req.done,
+				Load: LoadReport{Utilization: s.rng.Float64()*2 - 1}})
 			return
 		}
 	}
@@ -195,25 +195,25 @@
 	}
 }
 
-// noteEndpoints records an endpoint update that the engine is about to get.
-func (c *invariantChecker) noteEndpoints(kind UpdateKind, endpoints []Endpoint) {
+// recordEndpoints records an endpoint update that the engine is about to get.
+func (c *invariantChecker) recordEndpoints(kind UpdateKind, endpoints []Endpoint) {
 	if kind != UpdateDelta {
 		for id := range c.endpoints {
-			c.noteUnavailable(id)
+			c.recordUnavailable(id)
 		}
 	}
 	for _, endpoint := range endpoints {
 		if endpoint.State == InService {
 			delete(c.notifiedAt, endpoint.ID)
 		} else {
-			c.noteUnavailable(endpoint.ID)
+			c.recordUnavailable(endpoint.ID)
 		}
 		c.endpoints[endpoint.ID] = endpoint
 	}
 }
 
-// noteUnavailable records that the engine is notified of a draining or removed cache, if it was not before.
-func (c *invariantChecker) noteUnavailable(id string) {
+// recordUnavailable records that the engine is notified of a draining or removed cache, if it was not before.
+func (c *invariantChecker) recordUnavailable(id string) {
 	if _, ok := c.notifiedAt[id]; !ok {
 		c.notifiedAt[id] = c.harness.now
 	}
@@ -311,7 +311,7 @@
 	if req == nil || req.done {
 		t.Fatalf("request %d: a second final answer", id)
 	}
-	if c.harness.now > req.deadline+answerGrace && len(req.attempts) > 0 {
+	if c.harness.now > req.deadline+finalAnswerGrace && len(req.attempts) > 0 {
 		t.Fatalf("request %d answered late", id)
 	}
 	req.done = true
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -19,16 +19,16 @@
 			e.now += Time(rng.IntN(200 * ms))
 			e.regroupWarmedUp()
 			req := randomRequest(e, rng)
-			source := e.rng
+			savedRNG := e.rng
 			want, wantOverloaded, walked := pickByFullRanking(e, req)
 			wantSpilled, wantLimited := req.spilledOver, req.originLimited
-			e.rng, req.originLimited = source, false
+			e.rng, req.originLimited = savedRNG, false
 			got, overloaded := e.selectCache(req)
 			if got != want || overloaded != wantOverloaded || req.spilledOver != wantSpilled || req.originLimited != wantLimited {
 				t.Fatalf("seed %d: picked %v, overloaded %t, want %v and %t", seed, nameOf(got), overloaded, nameOf(want),
 					wantOverloaded)
 			}
-			e.rng = source
+			e.rng = savedRNG
 			if again, _ := e.selectCache(req); again != got {
 				t.Fatalf("seed %d: picked %v at first and %v then", seed, nameOf(got), nameOf(again))
 			}
@@ -61,20 +61,20 @@
 	if replica := e.chooseReplica(req.Key); replica > 0 {
 		ranking[0], ranking[replica] = ranking[replica], ranking[0]
 	}
-	p := &cacheSelection{engine: e, request: req}
+	selection := &cacheSelection{engine: e, request: req}
 	for i, c := range ranking {
-		if p.considered >= maxCandidates {
+		if selection.considered >= maxCandidates {
 			break
 		}
 		walked = i + 1
-		if p.consider(c) {
+		if selection.consider(c) {
 			return c, false, walked
 		}
 	}
-	if p.lacksCapacity {
+	if selection.lacksCapacity {
 		return nil, true, walked
 	}
-	return p.fallback, false, walked
+	return selection.fallback, false, walked
 }
 
 // newRandomFleet returns an engine before caches in random states.
@@ -88,13 +88,13 @@
 	caches, zones := 1+rng.IntN(200), 1+rng.IntN(4)
 	weighted := rng.IntN(2) == 0
 	var endpoints []Endpoint
-	started := []float64{0, 0.1, 0.5, 1}[rng.IntN(4)]
+	startedShare := []float64{0, 0.1, 0.5, 1}[rng.IntN(4)]
 	for i := range caches {
 		endpoint := Endpoint{ID: fmt.Sprintf("c%03d", i), Zone: fmt.Sprint("z", rng.IntN(zones)), Group: rng.IntN(4), Weight: 1}
 		if weighted {
 			endpoint.Weight = math.Exp2(6*rng.Float64() - 3)
 		}
-		if rng.Float64() < started {
+		if rng.Float64() < startedShare {
 			endpoint.StartedAt = h.now - Time(rng.IntN(int(settings.WarmupTime)))
 		}
 		endpoints = append(endpoints, endpoint)
@@ -214,9 +214,9 @@
 	if kept := e.warmLoad.At(e.now, e.settings.OverloadTime); math.Abs(kept-load) > 1e-6 {
 		t.Fatalf("load of the warm caches %v, made anew %v", kept, load)
 	}
-	kept := *e.weightSums()
+	cached := *e.weightSums()
 	e.sums.valid = false
-	if anew := *e.weightSums(); anew != kept {
-		t.Fatalf("sums %v, made anew %v", kept, anew)
+	if recomputed := *e.weightSums(); recomputed != cached {
+		t.Fatalf("sums %v, made anew %v", cached, recomputed)
 	}
 }
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -4,7 +4,7 @@
 
 // The effect of a class decides where a request may be sent again, and whether it may be rejected, after each result.
 func TestEffectRules(t *testing.T) {
-	for _, class := range []string{"read", "all", "zone", "cell", "once", "unheard-of"} {
+	for _, class := range []string{"read", "all", "zone", "cell", "once", "unknown"} {
 		for result := ServerError; result <= NotStored; result++ {
 			checkEffectRules(t, class, result)
 		}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -11,8 +11,8 @@
 	s := testSettings()
 	s.Routers = -3
 	_, err := New(s, 1)
-	var wrong *SettingsError
-	if !errors.As(err, &wrong) || *wrong != (SettingsError{Field: "Routers", Value: -3}) {
+	var settingsErr *SettingsError
+	if !errors.As(err, &settingsErr) || *settingsErr != (SettingsError{Field: "Routers", Value: -3}) {
 		t.Errorf("got %#v, want a SettingsError for Routers", err)
 	}
 	if want := "policy: Routers is -3, out of range"; err == nil || err.Error() != want {
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestNoClassesIsASentinel(t *testing.T) {
+func TestErrNoClassesIsSentinel(t *testing.T) {
 	s := testSettings()
 	s.Classes = nil
 	if _, err := New(s, 1); !errors.Is(err, ErrNoClasses) || err.Error() != "policy: Classes is empty" {
@@ -29,7 +29,7 @@
 }
 
 // An error names the field as the caller knows it.
-func TestCheckedFieldsExist(t *testing.T) {
+func TestSettingsErrorsNameExistingFields(t *testing.T) {
 	s := testSettings()
 	for _, field := range s.fields() {
 		owner, name := reflect.TypeFor[Settings](), field.name
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -93,8 +93,8 @@
 	return router
 }
 
-// newAttempt returns the AttemptDone event of the attempt that an engine has just sent.
-func (s *simulation) newAttempt(router int, send Send) *AttemptDone {
+// newAttemptDone returns the AttemptDone event of the attempt that an engine has just sent.
+func (s *simulation) newAttemptDone(router int, send Send) *AttemptDone {
 	attempt := len(s.engines[router].requests[send.ID].attempts) - 1
 	return &AttemptDone{ID: send.ID, Attempt: attempt, Load: noLoadReport}
 }
@@ -114,8 +114,8 @@
 	})
 }
 
-// knowsStart reports whether a router has been notified of the latest start of a cache.
-func (s *simulation) knowsStart(router int, endpoint Endpoint) bool {
+// wasNotifiedOfStart reports whether a router has been notified of the latest start of a cache.
+func (s *simulation) wasNotifiedOfStart(router int, endpoint Endpoint) bool {
 	return s.engines[router].caches[endpoint.ID].StartedAt == endpoint.StartedAt
 }
 
--- a/policy/slow_test.go
+++ b/policy/slow_cache_test.go
@@ -9,13 +9,13 @@
 const (
 	slowCacheCores    = 4
 	slowCacheKeys     = 64
-	slowCacheSpan     = 30_000 * ms
+	slowCacheDuration = 30_000 * ms
 	slowCacheInterval = 15 * ms // between two requests
 )
 
-// slowCache is one router in front of one overloaded cache, whose hits take serviceTime, or longer where they
+// slowCacheSimulation is one router in front of one overloaded cache, whose hits take serviceTime, or longer where they
 // share a core.
-type slowCache struct {
+type slowCacheSimulation struct {
 	harness     *engineHarness
 	rng         *rand.Rand
 	cache       *cache
@@ -35,9 +35,9 @@
 
 // Hits that take more than half of the latency objective without any load must not count as overload, or the
 // cache's limit would fall until it does next to nothing.
-func TestSlowCacheIsUsed(t *testing.T) {
+func TestSlowHitsDoNotCountAsOverload(t *testing.T) {
 	for _, serviceTime := range []Time{40 * ms, 75 * ms, 110 * ms, 130 * ms} {
-		rate, onTime := playSlowCache(t, serviceTime)
+		rate, onTime := simulateSlowCache(t, serviceTime)
 		capacity := min(slowCacheCores/(1.05*float64(serviceTime)/1e6), 1e6/slowCacheInterval)
 		t.Logf("%d ms a hit: %.1f a second in the latency objective, of %.1f that it can do; %.2f of the replies",
 			serviceTime/ms, rate, capacity, onTime)
@@ -52,29 +52,29 @@
 	}
 }
 
-// playSlowCache plays slowCacheSpan and returns the hits a second within the latency objective, and their share of
+// simulateSlowCache plays slowCacheDuration and returns the hits a second within the latency objective, and their share of
 // all replies.
-func playSlowCache(t *testing.T, serviceTime Time) (rate, onTime float64) {
+func simulateSlowCache(t *testing.T, serviceTime Time) (rate, onTime float64) {
 	h := newTrafficHarness(t, 1, nil)
-	s := &slowCache{harness: h, rng: rand.New(rand.NewSource(1)), cache: h.engine.caches["c00"], serviceTime: serviceTime}
+	s := &slowCacheSimulation{harness: h, rng: rand.New(rand.NewSource(1)), cache: h.engine.caches["c00"], serviceTime: serviceTime}
 	for key := range uint64(slowCacheKeys) {
 		s.cache.recentKeys[0][key] = true
 	}
 	id := int64(0)
-	for start := h.now; h.now < start+slowCacheSpan; {
-		s.accept(h.advance(1 * ms))
+	for start := h.now; h.now < start+slowCacheDuration; {
+		s.startAttempts(h.advance(1 * ms))
 		if (h.now-start)%slowCacheInterval == 0 {
 			id++
-			s.accept(h.handle(&Request{ID: id, Class: "read", Key: uint64(id % slowCacheKeys), HasKey: true,
+			s.startAttempts(h.handle(&Request{ID: id, Class: "read", Key: uint64(id % slowCacheKeys), HasKey: true,
 				Deadline: h.now + testTimeout}))
 		}
-		s.finishDue()
+		s.finishDueAttempts()
 	}
-	return float64(s.onTime) / (slowCacheSpan / 1e6), float64(s.onTime) / float64(s.served)
+	return float64(s.onTime) / (slowCacheDuration / 1e6), float64(s.onTime) / float64(s.served)
 }
 
-// accept starts the attempts that the engine sent.
-func (s *slowCache) accept(actions []Action) {
+// startAttempts starts the attempts that the engine sent.
+func (s *slowCacheSimulation) startAttempts(actions []Action) {
 	h := s.harness
 	for _, send := range sendActions(actions) {
 		slowdown := max(1, float64(s.cache.inFlight)/slowCacheCores)
@@ -84,8 +84,8 @@
 	}
 }
 
-// finishDue ends the attempts that are done by now, which may start others.
-func (s *slowCache) finishDue() {
+// finishDueAttempts ends the attempts that are done by now, which may start others.
+func (s *slowCacheSimulation) finishDueAttempts() {
 	h := s.harness
 	objective := h.engine.classes["read"].LatencyObjective
 	for i := 0; i < len(s.pending); i++ {
@@ -98,7 +98,7 @@
 		elapsed := h.now - done.sentAt
 		s.served++
 		s.onTime += boolToInt(elapsed <= objective)
-		s.accept(h.handle(&AttemptDone{ID: done.id, Attempt: done.attempt, Result: Served, Elapsed: elapsed, Final: true,
+		s.startAttempts(h.handle(&AttemptDone{ID: done.id, Attempt: done.attempt, Result: Served, Elapsed: elapsed, Final: true,
 			Load: noLoadReport}))
 	}
 }
--- a/policy/slowstart_faults_test.go
+++ b/policy/slowstart_faults_test.go
@@ -26,7 +26,7 @@
 		{300, 0, 2500 * ms},
 	} {
 		for _, scenario := range faultScenarios {
-			scenario.routers, scenario.caches, scenario.span = fleet.routers, fleet.caches, fleet.span
+			scenario.routers, scenario.caches, scenario.duration = fleet.routers, fleet.caches, fleet.span
 			if fleet.caches == 0 {
 				scenario.caches = scenario.largeCaches
 			}
@@ -46,10 +46,10 @@
 // checkStartedCaches fails the test if a cache was overloaded while it was warming up.
 func checkStartedCaches(t *testing.T, sim *faultSimulation) {
 	t.Helper()
-	got, fair, worst, worstBudget := 0., 0., 0., 0.
+	received, fairShare, worst, worstBudget := 0., 0., 0., 0.
 	for _, cache := range sim.started {
-		got += float64(len(cache.arrivals))
-		fair += cache.fairShare
+		received += float64(len(cache.arrivals))
+		fairShare += cache.fairShare
 		work, budget := cache.worstWindow(&sim.settings)
 		if work > budget {
 			t.Errorf("%s of weight %v got %.1f in %v us, more than %.1f",
@@ -60,25 +60,25 @@
 		}
 	}
 	t.Logf("%d, %s: worst window %.1f of %.1f (%.2f), starting caches got %.2f of their share, served %.2f",
-		sim.scenario.routers, sim.scenario.name, worst, worstBudget, worst/worstBudget, got/fair,
+		sim.scenario.routers, sim.scenario.name, worst, worstBudget, worst/worstBudget, received/fairShare,
 		float64(sim.served)/float64(sim.requests))
 }
 
 // faultSimulation plays a faultScenario.
 type faultSimulation struct {
 	simulation
-	scenario         faultScenario
-	caches           []*coreCache
-	byID             map[string]*coreCache
-	keys             *rand.Zipf
-	hotKey           uint64
-	totalWeight      float64
-	weightBefore     float64 // of the caches listed before the starts
-	tries            map[int64]clientTry
-	lastRequestID    int64
-	failuresProduced int
-
-	started  []*coreCache
+	scenario       faultScenario
+	caches         []*multiCoreCache
+	byID           map[string]*multiCoreCache
+	keys           *rand.Zipf
+	hotKey         uint64
+	totalWeight    float64
+	weightBefore   float64 // of the caches listed before the starts
+	tries          map[int64]clientTry
+	lastRequestID  int64
+	failedAttempts int
+
+	started  []*multiCoreCache
 	requests int // of clients since the starts, retries not counted
 	served   int // since the starts
 }
@@ -92,9 +92,9 @@
 func newFaultSimulation(t *testing.T, scenario faultScenario) *faultSimulation {
 	t.Helper()
 	s := &faultSimulation{
-		simulation: newSimulation(t, 1+scenario.seed, scenario.settings(), scenario.span),
+		simulation: newSimulation(t, 1+scenario.seed, scenario.settings(), scenario.duration),
 		scenario:   scenario,
-		byID:       map[string]*coreCache{},
+		byID:       map[string]*multiCoreCache{},
 		tries:      map[int64]clientTry{},
 	}
 	s.perform = s.performAction
@@ -102,7 +102,7 @@
 		s.addCache(i)
 	}
 	for router := range s.engines {
-		s.startRouter(router, s.endpointsBefore())
+		s.startRouter(router, s.endpointsBeforeStart())
 	}
 	s.keys = rand.NewZipf(s.rng, 1.1, 2, 1<<20)
 	if scenario.hotShare > 0 {
@@ -115,32 +115,32 @@
 
 func (s *faultSimulation) addCache(index int) {
 	weight := []float64{1, .5, 1.5}[index%3]
-	cache := &coreCache{Endpoint: Endpoint{ID: fmt.Sprintf("c%03d", index), Weight: weight}, index: index}
+	cache := &multiCoreCache{Endpoint: Endpoint{ID: fmt.Sprintf("c%03d", index), Weight: weight}, index: index}
 	s.caches = append(s.caches, cache)
 	s.byID[cache.ID] = cache
 	s.totalWeight += weight
-	if !s.scenario.joining || !s.isStarting(cache) {
+	if !s.scenario.newlyListed || !s.isStarting(cache) {
 		s.weightBefore += weight
 	}
 }
 
 // isStarting reports whether a cache is one of those that start at restartAt.
-func (s *faultSimulation) isStarting(cache *coreCache) bool {
-	return float64(cache.index%10) < 10*s.scenario.starting
+func (s *faultSimulation) isStarting(cache *multiCoreCache) bool {
+	return float64(cache.index%10) < 10*s.scenario.startingShare
 }
 
 // hasFault reports whether a cache is in a share of those that stay warm, and its fault has begun. The shares are
 // counted from the end of the list, where caches stay warm.
-func (s *faultSimulation) hasFault(cache *coreCache, from, share float64) bool {
+func (s *faultSimulation) hasFault(cache *multiCoreCache, from, share float64) bool {
 	position := (float64(9-cache.index%10) + .5) / 10
 	return s.now >= s.restartAt && !s.isStarting(cache) && position >= from && position < from+share
 }
 
-// endpointsBefore returns the endpoints as they were listed before the starts.
-func (s *faultSimulation) endpointsBefore() []Endpoint {
+// endpointsBeforeStart returns the endpoints as they were listed before the starts.
+func (s *faultSimulation) endpointsBeforeStart() []Endpoint {
 	var endpoints []Endpoint
 	for _, cache := range s.caches {
-		if s.scenario.joining && s.isStarting(cache) {
+		if s.scenario.newlyListed && s.isStarting(cache) {
 			continue
 		}
 		endpoint := cache.Endpoint
@@ -150,20 +150,20 @@
 	return endpoints
 }
 
-// endpointsNow returns the endpoints as they are listed now.
-func (s *faultSimulation) endpointsNow() []Endpoint {
+// currentEndpoints returns the endpoints as they are listed now.
+func (s *faultSimulation) currentEndpoints() []Endpoint {
 	var endpoints []Endpoint
 	for _, cache := range s.caches {
-		endpoints = append(endpoints, s.listed(cache))
+		endpoints = append(endpoints, s.listedEndpoint(cache))
 	}
 	return endpoints
 }
 
-// listed returns a cache as the endpoint list has it.
-func (s *faultSimulation) listed(cache *coreCache) Endpoint {
+// listedEndpoint returns a cache as the endpoint list has it.
+func (s *faultSimulation) listedEndpoint(cache *multiCoreCache) Endpoint {
 	endpoint := cache.Endpoint
 	if endpoint.StartedAt > 0 {
-		endpoint.StartedAt -= s.scenario.listedEarlier
+		endpoint.StartedAt -= s.scenario.listedStartError
 	}
 	return endpoint
 }
@@ -171,7 +171,7 @@
 // findHotKey returns a key whose primary is the largest starting cache, and that routers send there from the first
 // moment on.
 func (s *faultSimulation) findHotKey() uint64 {
-	var largest *coreCache
+	var largest *multiCoreCache
 	for _, cache := range s.caches {
 		if s.isStarting(cache) && (largest == nil || cache.Weight > largest.Weight) {
 			largest = cache
@@ -185,7 +185,7 @@
 }
 
 // primaryOf returns the first choice for a key.
-func (s *faultSimulation) primaryOf(key uint64) (primary *coreCache) {
+func (s *faultSimulation) primaryOf(key uint64) (primary *multiCoreCache) {
 	best := math.Inf(1)
 	for _, cache := range s.caches {
 		score := -math.Log(unitInterval(mix(key^hash(cache.ID)))+1e-18) / cache.Weight
@@ -207,10 +207,10 @@
 	}
 	for router := range s.engines {
 		if float64(router%10) < 10*s.scenario.restartedRouters {
-			s.startRouter(router, s.endpointsBefore())
+			s.startRouter(router, s.endpointsBeforeStart())
 		}
 		delay := Time(s.rng.Float64() * float64(s.scenario.notifyWithin))
-		s.after(delay, func() { s.updateEndpoints(router, s.endpointsNow()) })
+		s.after(delay, func() { s.updateEndpoints(router, s.currentEndpoints()) })
 		if s.scenario.restartInterval > 0 {
 			s.after(Time(s.rng.Float64()*float64(s.scenario.restartInterval)), func() { s.restartRouter(router) })
 		}
@@ -219,7 +219,7 @@
 
 // restartRouter starts a router that has forgotten what it sent, and schedules its next restart.
 func (s *faultSimulation) restartRouter(router int) {
-	s.startRouter(router, s.endpointsNow())
+	s.startRouter(router, s.currentEndpoints())
 	s.after(s.scenario.restartInterval, func() { s.restartRouter(router) })
 }
 
@@ -227,7 +227,7 @@
 func (s *faultSimulation) sendRequest() {
 	if s.now >= s.restartAt {
 		s.requests++
-		s.noteFairShares()
+		s.addFairShares()
 	}
 	rate := s.requestRate()
 	key := mix(s.keys.Uint64())
@@ -244,14 +244,14 @@
 		return s.scenario.load * simulatedRate * s.weightBefore
 	}
 	rate := s.scenario.load * simulatedRate * s.totalWeight
-	if s.now > s.restartAt+1000*ms && s.scenario.burst > 0 {
-		rate *= s.scenario.burst
+	if s.now > s.restartAt+1000*ms && s.scenario.burstFactor > 0 {
+		rate *= s.scenario.burstFactor
 	}
 	return rate
 }
 
-// noteFairShares adds each started cache's share of one request, by its present capacity.
-func (s *faultSimulation) noteFairShares() {
+// addFairShares adds each started cache's share of one request, by its present capacity.
+func (s *faultSimulation) addFairShares() {
 	total := 0.
 	for _, cache := range s.caches {
 		total += cache.capacity(&s.settings, s.now)
@@ -295,17 +295,17 @@
 func (s *faultSimulation) performSend(router int, send Send) {
 	cache := s.byID[send.Cache]
 	work := .5 + s.rng.Float64()
-	cache.arrivals = append(cache.arrivals, arrival{s.now, work, s.knowsStart(router, s.listed(cache))})
-	done := s.newAttempt(router, send)
+	cache.arrivals = append(cache.arrivals, arrival{s.now, work, s.wasNotifiedOfStart(router, s.listedEndpoint(cache))})
+	done := s.newAttemptDone(router, send)
 	core := cache.firstIdleCore(s.now)
 	serviceTime := Time(work * simulatedCores * 1e6 / cache.capacity(&s.settings, s.now))
 	switch {
-	case s.hasFault(cache, 0, s.scenario.hanging):
+	case s.hasFault(cache, 0, s.scenario.hangingShare):
 		done.Result = TimedOut
 		s.finishAttempt(send.Deadline-s.now, router, done)
-	case s.hasFault(cache, s.scenario.hanging, s.scenario.failing):
-		s.failuresProduced++
-		done.Result = []Result{ServerError, Rejected, ConnectionLost}[s.failuresProduced%3]
+	case s.hasFault(cache, s.scenario.hangingShare, s.scenario.failingShare):
+		s.failedAttempts++
+		done.Result = []Result{ServerError, Rejected, ConnectionLost}[s.failedAttempts%3]
 		s.finishAttempt(2*ms, router, done)
 	case cache.coreIdleAt[core] > s.now+maxSimulatedQueue/simulatedCores*serviceTime:
 		done.Result = Rejected
@@ -326,8 +326,8 @@
 	})
 }
 
-// coreCache does one request on each of its cores at a time and queues a few others.
-type coreCache struct {
+// multiCoreCache does one request on each of its cores at a time and queues a few others.
+type multiCoreCache struct {
 	Endpoint
 	index      int
 	coreIdleAt [simulatedCores]Time // when each core will have done what it accepted
@@ -347,12 +347,12 @@
 func (a arrival) notifiedWork() float64 { return float64(boolToInt(a.notified)) * a.work }
 
 // capacity is how many requests of mean work a second the cache can do.
-func (c *coreCache) capacity(settings *Settings, now Time) float64 {
+func (c *multiCoreCache) capacity(settings *Settings, now Time) float64 {
 	return simulatedCapacity(c.Endpoint, settings, now)
 }
 
 // firstIdleCore returns the core that is idle first.
-func (c *coreCache) firstIdleCore(now Time) int {
+func (c *multiCoreCache) firstIdleCore(now Time) int {
 	first := 0
 	for core := range c.coreIdleAt {
 		c.coreIdleAt[core] = max(c.coreIdleAt[core], now)
@@ -367,7 +367,7 @@
 func chanceMargin(requests float64) float64 { return 2*math.Sqrt(requests) + 2 }
 
 // budget is the work that a cache may get in the window of OverloadTime that ends at end.
-func (c *coreCache) budget(settings *Settings, end Time) float64 {
+func (c *multiCoreCache) budget(settings *Settings, end Time) float64 {
 	middle := max(end-settings.OverloadTime/2, c.StartedAt)
 	limit := settings.OverloadMultiple * c.capacity(settings, middle) * float64(settings.OverloadTime) / 1e6
 	return limit + chanceMargin(limit)
@@ -376,7 +376,7 @@
 // worstWindow returns the work and the budget of the window of OverloadTime in which the cache came closest to an
 // overload collapse. Only windows of which more than two thirds came from routers that had been notified count: the
 // others break no rule. What follows a collapse that others caused does not count either.
-func (c *coreCache) worstWindow(settings *Settings) (worst, worstBudget float64) {
+func (c *multiCoreCache) worstWindow(settings *Settings) (worst, worstBudget float64) {
 	first, work, notified := 0, 0., 0.
 	for _, last := range c.arrivals {
 		work += last.work
@@ -407,10 +407,10 @@
 	limit := settings.OverloadMultiple * simulatedRate * settings.WarmupStartShare * 1.5 // right after the start
 	budget := int(limit + chanceMargin(limit))
 	for _, test := range []struct {
-		name             string
-		count, unaware   int // requests at once right after the start, the first ones from routers not notified
-		later            int // from notified routers a second later
-		counted, tooMuch bool
+		name                string
+		count, unnotified   int // requests at once right after the start, the first ones from routers not notified
+		later               int // from notified routers a second later
+		counted, overBudget bool
 	}{
 		{"within", budget, 0, 0, true, false},
 		{"one more", budget + 1, 0, 0, true, true},
@@ -420,15 +420,15 @@
 		{"it had collapsed by then", 60, 60, 300, false, false},
 		{"both windows count as one", budget, 0, budget, true, true},
 	} {
-		cache := coreCache{Endpoint: Endpoint{Weight: 1, StartedAt: testStart}}
+		cache := multiCoreCache{Endpoint: Endpoint{Weight: 1, StartedAt: testStart}}
 		for i := range test.count {
-			cache.arrivals = append(cache.arrivals, arrival{testStart + 1, 1, i >= test.unaware})
+			cache.arrivals = append(cache.arrivals, arrival{testStart + 1, 1, i >= test.unnotified})
 		}
 		for range test.later {
 			cache.arrivals = append(cache.arrivals, arrival{testStart + 1000*ms, 1, true})
 		}
 		worst, worstBudget := cache.worstWindow(&settings)
-		if worstBudget > 0 != test.counted || worst > worstBudget != test.tooMuch {
+		if worstBudget > 0 != test.counted || worst > worstBudget != test.overBudget {
 			t.Errorf("%s: worst window %v of %v", test.name, worst, worstBudget)
 		}
 	}
--- a/policy/slowstart_restart_test.go
+++ b/policy/slowstart_restart_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	restartSpan           = 3500 * ms // that is looked at after the restart
+	restartDuration       = 3500 * ms // that is looked at after the restart
 	maxSimulatedQueueTime = 300 * ms  // of work that a simulated cache queues
 )
 
@@ -30,7 +30,7 @@
 	caches        map[string]*queueingCache
 	endpoints     []Endpoint
 	keys          *rand.Zipf
-	meanGap       float64 // between two requests
+	meanInterval  float64 // between two requests
 	lastRequestID int64
 
 	restarted []*queueingCache
@@ -53,7 +53,7 @@
 }
 
 // Each of many routers sends little to a cache that is warming up, and all of it together must not overload it.
-func TestFleetSparesWarmingUpCaches(t *testing.T) {
+func TestFleetDoesNotOverloadWarmingUpCaches(t *testing.T) {
 	for _, scenario := range []restartScenario{
 		{routers: 300, caches: 200, restartedCaches: .6, load: .4, zipfExponent: 1.1},
 		{routers: 300, caches: 200, restartedCaches: .1, load: .8, zipfExponent: 1.1},
@@ -76,7 +76,7 @@
 						cache.ID, cache.Weight, worst, sim.settings.OverloadTime, budget)
 				}
 				served += float64(cache.served)
-				capacity += cache.capacity(&sim.settings, cache.StartedAt+restartSpan/2) * restartSpan / 1e6
+				capacity += cache.capacity(&sim.settings, cache.StartedAt+restartDuration/2) * restartDuration / 1e6
 			}
 			t.Logf("restarted caches did %.2f of what they could; %d of %d requests were served",
 				served/capacity, sim.served, sim.requests)
@@ -90,7 +90,7 @@
 func newRestartSimulation(t *testing.T, scenario restartScenario) *restartSimulation {
 	t.Helper()
 	s := &restartSimulation{
-		simulation: newSimulation(t, 1, slowStartSettings(scenario.routers), restartSpan),
+		simulation: newSimulation(t, 1, slowStartSettings(scenario.routers), restartDuration),
 		scenario:   scenario,
 		caches:     map[string]*queueingCache{},
 	}
@@ -102,7 +102,7 @@
 		s.caches[endpoint.ID] = &queueingCache{Endpoint: endpoint}
 		s.endpoints = append(s.endpoints, endpoint)
 	}
-	s.meanGap = 1e6 / (scenario.load * simulatedRate * totalWeight)
+	s.meanInterval = 1e6 / (scenario.load * simulatedRate * totalWeight)
 	for router := range s.engines {
 		s.startRouter(router, s.endpoints)
 	}
@@ -121,7 +121,7 @@
 	router := s.randomRouter()
 	s.handle(router, &Request{ID: s.lastRequestID, Class: "read", Key: mix(s.keys.Uint64()), HasKey: true,
 		Deadline: s.now + testTimeout})
-	s.after(Time(s.rng.ExpFloat64()*s.meanGap), s.sendRequest)
+	s.after(Time(s.rng.ExpFloat64()*s.meanInterval), s.sendRequest)
 }
 
 // restart starts caches and routers anew and schedules when the other routers are notified.
@@ -153,9 +153,9 @@
 		return
 	}
 	cache := s.caches[send.Cache]
-	cache.sends = append(cache.sends, notifiedSend{s.now, s.knowsStart(router, cache.Endpoint)})
+	cache.sends = append(cache.sends, notifiedSend{s.now, s.wasNotifiedOfStart(router, cache.Endpoint)})
 	cache.idleAt = max(cache.idleAt, s.now)
-	done := s.newAttempt(router, send)
+	done := s.newAttemptDone(router, send)
 	done.Result = Rejected
 	delay := Time(1 * ms)
 	if cache.idleAt < s.now+maxSimulatedQueueTime {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -133,15 +133,15 @@
 		{"a second one", []Time{announced, announced + 1000*ms}, announced + 11000*ms},
 	} {
 		h := newTrafficHarness(t, 3, nil)
-		endpoints, zero := testEndpoints(3), h.now
+		endpoints, clockStart := testEndpoints(3), h.now
 		h.now += announced
 		for _, start := range test.starts {
-			endpoints[1].StartedAt = zero + start
+			endpoints[1].StartedAt = clockStart + start
 			h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: endpoints})
 			h.now += 1000 * ms
 		}
 		c := h.engine.caches["c01"]
-		if got := c.warmAt - zero; got != test.warmAt && (test.warmAt > 0 || c.warmAt > h.now) {
+		if got := c.warmAt - clockStart; got != test.warmAt && (test.warmAt > 0 || c.warmAt > h.now) {
 			t.Errorf("%s: warming up until %d ms, not %d", test.name, got/ms, test.warmAt/ms)
 		}
 	}
