--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Each of many routers learns of an overload from every cache separately, and forwarded client retries would
-// sustain it. The admission ratio falls when nothing is served in time and recovers by itself.
+// Each of many routers learns of an overload from every cache separately, and client retries that it forwards
+// would sustain the overload. So the admission ratio falls when nothing is served in time, and recovers by
+// itself over time.
 func TestFleetAdmitsWhatIsServedInTime(t *testing.T) {
 	harnesses := newRouterFleet(t, 40)
 	sentShare := func(firstID int64, answered bool) float64 {
@@ -40,12 +41,12 @@
 	}
 	for _, h := range harnesses {
 		if h.advance(30000 * ms); h.engine.currentAdmission() < 1 {
-			t.Fatal("a router without requests for 30 s still admits only a part")
+			t.Fatal("a router without requests for 30 s still admits only some of the keys")
 		}
 	}
 }
 
-// Queueing a request whose key no cache accepts is of no use, and lets client retries pile up.
+// Queueing a request whose key no cache accepts would have no use, and would let client retries accumulate.
 func TestKeyWithoutAcceptingCacheIsRejectedAtOnce(t *testing.T) {
 	rejected := 0
 	for _, h := range newRouterFleet(t, 8) {
@@ -68,8 +69,8 @@
 	}
 }
 
-// Client retries of requests that are rejected at once must not pay for health checks, or an overloaded fleet
-// would be checked the most.
+// Requests that are rejected at once must not add to the health check budget. Client retries would otherwise
+// cause the most health checks when the fleet is overloaded.
 func TestImmediateRejectsEarnNoHealthChecks(t *testing.T) {
 	h := newRouterFleet(t, 8)[0]
 	h.engine.admissionRatio, h.engine.admissionRatioAt = 0, h.now
@@ -82,8 +83,8 @@
 	}
 }
 
-// A slow origin makes all replies late for a while. If next to nothing were admitted then, the caches would have
-// lost their keys by the time the origin recovers.
+// A slow origin makes all replies late for a while. If almost no requests were admitted meanwhile, the caches
+// would no longer hold the requested keys when the origin recovers.
 func TestAdmissionRatioHasMinimum(t *testing.T) {
 	sent := 0
 	for _, h := range newRouterFleet(t, 40) {
@@ -102,8 +103,8 @@
 	}
 }
 
-// What restarted caches have lost is requested from the origin at once and all misses are late. The routers must
-// not reject the hits together with them.
+// After a restart of caches, all keys that they have lost are requested from the origin at once and the
+// misses are late. The routers must not reject hits because of late misses.
 func TestLateMissesWhileWarmingUpDoNotLowerAdmission(t *testing.T) {
 	for _, test := range []struct {
 		warmingUp, hits bool
@@ -118,13 +119,13 @@
 				}
 			}
 			h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: endpoints})
-			h.engine.originLimit = math.Inf(1) // limits are not what this test is about
+			h.engine.originLimit = math.Inf(1) // so that only admission applies
 			for _, c := range h.engine.inService {
 				c.concurrencyLimit = math.Inf(1)
 			}
 			for id := int64(1); id <= 100; id++ {
 				if h.request(id, "read", uint64(id)) != nil && test.hits && id%2 == 0 {
-					h.serve(id, 0) // every second one is a hit, the others wait for the origin
+					h.serve(id, 0) // every second request is a hit; the others wait for the origin
 				}
 				h.advance(20 * ms)
 			}
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// If every router of many kept a connection to every cache, the caches' connection tables would fill up.
+// If every router of a large fleet kept a connection to every cache, the caches would run out of connections.
 func TestIdleConnectionsAreClosedIfKeepingCostsMore(t *testing.T) {
 	countClosed := func(routers int, key func(id int64) uint64, change func(*Settings)) (closed int) {
 		h := newTrafficHarness(t, 20, func(s *Settings) {
@@ -32,15 +32,15 @@
 	}
 	oneCache := func(id int64) uint64 { return samePrimary[id%100] }
 	if closed := countClosed(3, spread, nil); closed > 40 {
-		t.Errorf("few routers closed %d of 400", closed)
+		t.Errorf("with few routers, connections were closed after %d of 400 requests", closed)
 	}
 	if closed := countClosed(600, spread, nil); closed < 380 {
-		t.Errorf("many routers closed only %d of 400", closed)
+		t.Errorf("with many routers, connections were closed after only %d of 400 requests", closed)
 	}
 	if closed := countClosed(600, oneCache, func(s *Settings) { s.ConnectionCost = .01 }); closed > 20 {
-		t.Errorf("closed %d of 400 to the one cache in use", closed)
+		t.Errorf("connections to the only cache in use were closed after %d of 400 requests", closed)
 	}
 	if closed := countClosed(600, spread, func(s *Settings) { s.ConnectionCost, s.HandshakeCost = 0, 0 }); closed > 0 {
-		t.Errorf("closed %d where neither has a cost", closed)
+		t.Errorf("connections that cost nothing were closed after %d of 400 requests", closed)
 	}
 }
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -12,12 +12,12 @@
 	fewCaches  = 200
 	manyCaches = 3200
 
-	costRequestRate          = 25       // requests of a router in a second
-	costServiceTime          = 20 * ms  // of an attempt
-	costTimeout              = 500 * ms // of a request
+	costRequestRate          = 25       // requests per second to the router
+	costServiceTime          = 20 * ms  // service time of an attempt
+	costTimeout              = 500 * ms // timeout of a request
 	costSimulatedTime        = 6000 * ms
-	costGrowthLimit          = 1.4                  // by which the time of a decision may grow with the caches, ...
-	costAllowance            = 4 * time.Millisecond // ... and what is allowed beside it, for each second
+	costGrowthLimit          = 1.4                  // factor by which the engine's time may grow with the caches
+	costAllowance            = 4 * time.Millisecond // additional engine time allowed per second of requests
 	costRuns                 = 3
 	costOverloadTime    Time = 1500 * ms
 	costWarmupTime      Time = 9000 * ms
@@ -28,7 +28,7 @@
 type costState struct {
 	name        string
 	justStarted bool
-	result      func(cache int) Result // of each attempt
+	result      func(cache int) Result // result of each attempt at the cache with this index
 }
 
 func always(result Result) func(int) Result { return func(int) Result { return result } }
@@ -52,8 +52,9 @@
 	}
 }
 
-// TestDecisionsCostNoMoreBeforeManyCaches compares the processor time of the same requests before 200 and
-// before 3,200 caches. Routers fell behind, and lost requests, as it grew with the square of the caches.
+// TestDecisionsCostNoMoreBeforeManyCaches compares the time that the engine takes for the same requests in
+// front of 200 and of 3,200 caches. When it grew with the square of the number of caches, routers fell behind
+// and lost requests.
 func TestDecisionsCostNoMoreBeforeManyCaches(t *testing.T) {
 	for _, state := range costStates() {
 		t.Run(state.name, func(t *testing.T) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// measureCost returns the time that the engine takes for a second of requests, the least of a few plays.
+// measureCost returns the time that the engine takes for a second of requests, the least of costRuns runs.
 func measureCost(t *testing.T, caches int, state costState) time.Duration {
 	t.Helper()
 	least := time.Duration(0)
@@ -81,11 +82,11 @@
 	return least
 }
 
-// costSimulation plays requests through an engine and measures the time that it takes for them.
+// costSimulation sends requests through an engine and measures the time that the engine takes for them.
 type costSimulation struct {
 	engine     *Engine
 	state      costState
-	index      map[string]int // of each cache
+	index      map[string]int // index of each cache by its ID
 	rng        *rand.Rand
 	now        Time
 	queue      costQueue
@@ -95,7 +96,7 @@
 
 func costSettings(caches int) Settings {
 	settings := testSettings()
-	settings.Routers = caches * 3 / 2 // each has the same part of the caches at any size
+	settings.Routers = caches * 3 / 2 // keeps the ratio of routers to caches constant
 	settings.WarmupTime, settings.OverloadTime = costWarmupTime, costOverloadTime
 	for i := range settings.Classes {
 		settings.Classes[i].LatencyObjective = costTimeout / 2
@@ -133,13 +134,13 @@
 	}
 }
 
-// request hands the engine a request for a key of its own.
+// request gives the engine a request for a random key.
 func (s *costSimulation) request() {
 	s.lastID++
 	s.handle(&Request{ID: s.lastID, Class: "read", Key: s.rng.Uint64(), HasKey: true, Deadline: s.now + costTimeout})
 }
 
-// advance moves the clock and hands the engine what becomes due.
+// advance moves the clock and gives the engine the events that become due.
 func (s *costSimulation) advance(span Time) {
 	end := s.now + span
 	for len(s.queue) > 0 && s.queue[0].at <= end {
@@ -150,7 +151,7 @@
 	s.now = end
 }
 
-// handle hands the engine an event, and notes what follows from its actions.
+// handle gives the engine an event, and schedules the events that result from its actions.
 func (s *costSimulation) handle(event Event) {
 	start := time.Now()
 	actions := s.engine.Handle(s.now, event)
@@ -167,7 +168,7 @@
 	}
 }
 
-// attempt ends an attempt as the state of the fleet has it.
+// attempt schedules the end of an attempt, with the result that the state of the fleet gives it.
 func (s *costSimulation) attempt(send Send) {
 	result := s.state.result(s.index[send.Cache])
 	at := s.now + costServiceTime
@@ -188,7 +189,7 @@
 	event Event
 }
 
-// costQueue implements heap.Interface; its first event is the next one due.
+// costQueue is a heap of events by time.
 type costQueue []costEvent
 
 func (q costQueue) Len() int           { return len(q) }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Draining and removed caches get no requests, and a cache that is listed in service again does.
+// Draining and removed caches get no requests after the drain grace period. A cache that is listed in service
+// again does.
 func TestDrainingCacheGetsNoRequests(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: testEndpoints(2)})
@@ -14,7 +15,7 @@
 	h.handle(&EndpointsUpdate{Kind: UpdateDelta, Endpoints: []Endpoint{{ID: "c01", State: Removed}}})
 	h.advance(1001 * ms)
 	if s := h.request(1, "read", 1); s != nil {
-		t.Fatalf("sent to %s after the drain grace", s.Cache)
+		t.Fatalf("sent to %s after the drain grace period", s.Cache)
 	}
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: testEndpoints(1)})
 	if s := h.request(2, "read", 1); s == nil || s.Cache != "c00" {
@@ -22,7 +23,8 @@
 	}
 }
 
-// After failures the engine watches the endpoints again with a backoff that grows and differs between routers.
+// After a failed watch the engine watches again with a backoff. The backoff grows with further failures, and
+// differs between routers.
 func TestWatchBackoffGrowsAndIsJittered(t *testing.T) {
 	settings := testSettings()
 	settings.WatchRequired = true
@@ -46,15 +48,15 @@
 	}
 	first, second := watchDelays(1), watchDelays(2)
 	if reflect.DeepEqual(first, second) {
-		t.Fatal("two routers have equal backoffs")
+		t.Fatal("routers with different seeds have equal backoffs")
 	}
 	if first[4] < 4*first[0] {
 		t.Fatalf("the backoff doesn't grow: %v", first)
 	}
 }
 
-// A silent watch is noticed a second before the changes that it missed count as notified; a long poll interval must
-// not delay the next poll beyond the drain grace.
+// A watch that has gone silent is detected a second before the changes that it missed count as notified. A
+// long poll interval must not delay the next poll beyond the drain grace period.
 func TestFirstPollAfterSilentWatchIsWithinDrainGrace(t *testing.T) {
 	settings := testSettings()
 	settings.WatchRequired, settings.PollInterval, settings.DrainGrace = true, 120_000*ms, 250*ms
@@ -66,10 +68,10 @@
 			return
 		}
 	}
-	t.Error("no poll within the drain grace")
+	t.Error("no poll within the drain grace period")
 }
 
-// A sum in map order varies by rounding, and two equal routers would act differently.
+// The sum of the weights in map order would vary by rounding, and equal routers would make different decisions.
 func TestMeanWeightIsDeterministic(t *testing.T) {
 	endpoints := testEndpoints(40)
 	for i := range endpoints {
@@ -82,12 +84,12 @@
 		if i == 0 {
 			want = h.engine.meanWeight
 		} else if h.engine.meanWeight != want {
-			t.Fatalf("mean weight %v, before it was %v", h.engine.meanWeight, want)
+			t.Fatalf("mean weight %v, in the first run %v", h.engine.meanWeight, want)
 		}
 	}
 }
 
-// Machines come and go; memory must not grow with their names.
+// Caches are replaced under new names over time. The memory of removed ones must be released.
 func TestRemovedCachesAreForgotten(t *testing.T) {
 	h := newTrafficHarness(t, 3, nil)
 	for i := range 200 {
@@ -99,6 +101,6 @@
 		h.advance(1000 * ms)
 	}
 	if caches := len(h.engine.caches); caches > 20 {
-		t.Errorf("%d caches are remembered, of which 4 are listed", caches)
+		t.Errorf("%d caches are kept, of which 4 are listed", caches)
 	}
 }
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A request gets exactly one final answer when there is no endpoint to send it to.
+// A request gets exactly one final answer also when there is no endpoint to send it to.
 func TestRequestWithoutEndpointsIsAnswered(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	h.handle(&Request{ID: 1, Class: "once", Deadline: h.now + 100*ms})
@@ -20,7 +20,7 @@
 	}
 }
 
-// pastDeadlines is a span after which every request of the tests here is past its deadline.
+// pastDeadlines is a time after which every request of the tests in this file is past its deadline.
 const pastDeadlines = 1000 * ms
 
 // A request that arrives after its deadline is answered and never sent.
@@ -33,7 +33,7 @@
 	}
 }
 
-// The timeout of an attempt at the deadline is not the final answer: the engine still owes exactly one.
+// An attempt that times out at the deadline is not a final answer. The engine must then give exactly one.
 func TestTimeoutAtDeadlineIsFollowedByFail(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: testEndpoints(3)})
--- a/policy/fleet_harness_test.go
+++ b/policy/fleet_harness_test.go
@@ -6,7 +6,7 @@
 const manyRouters = 80
 
 // newRouterFleet returns the harnesses of a fleet of routers that were started together, without health checks.
-// Tests give all of them equal traffic and add up what they do: what one router may do, all may do at once.
+// Tests give all of them equal traffic and add up their actions, as all routers may act at the same time.
 func newRouterFleet(t *testing.T, caches int) []*engineHarness {
 	t.Helper()
 	settings := testSettings()
--- a/policy/fleet_limits_test.go
+++ b/policy/fleet_limits_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// If each router kept one attempt in flight at a slow cache, all of them together would keep it slow.
+// If each of many routers kept one attempt in flight at a slow cache, the sum of them would keep the cache
+// slow.
 func TestInitialLimitsAddUpToFleetLimit(t *testing.T) {
 	const span, serviceTime = 4000 * ms, 150 * ms
 	inFlightTime := Time(0) // sum over all attempts of all routers
@@ -32,7 +33,8 @@
 	}
 }
 
-// The initial limit is in proportion to a cache's weight, so that neither large nor small caches are misjudged.
+// The initial limit is proportional to the weight of a cache. An equal limit would be too low for large
+// caches or too high for small ones.
 func TestInitialLimitScalesWithWeight(t *testing.T) {
 	h := newTrafficHarness(t, 2, nil)
 	endpoints := []Endpoint{{ID: "big", Weight: 6}, {ID: "small", Weight: 2}}
@@ -43,7 +45,7 @@
 	}
 }
 
-// A retry burst that is small for one router must not outnumber the first attempts when all routers have one.
+// A retry burst that is small for one router must not exceed the first attempts when all routers retry at once.
 func TestFleetRetryBurstIsBounded(t *testing.T) {
 	retries := 0
 	for _, h := range newRouterFleet(t, 8) {
@@ -58,8 +60,8 @@
 	}
 }
 
-// Time tokens that routers save for a cache while they have no keys for it must not be spent by all of them at
-// once when keys move there.
+// Routers save time tokens for a cache while they have no requests for it. They must not be able to spend
+// many of them at once when keys move to that cache.
 func TestFleetTimeTokensAreBounded(t *testing.T) {
 	atOnce, later := 0, 0
 	for _, h := range newRouterFleet(t, 1) {
@@ -78,8 +80,8 @@
 	}
 }
 
-// To one router of many, verdicts on other caches must not outweigh what it learnt of a cache itself: they lower
-// a limit to the initial one at most, and do not raise a reduced one.
+// To one router of many, results at other caches must count less than those at the cache itself: shared
+// adjustments lower a limit no further than to the initial limit, and do not raise a reduced limit.
 func TestSharedAdjustmentsStopAtInitialLimit(t *testing.T) {
 	engine := newRouterFleet(t, 12)[0].engine
 	high, low := engine.caches["c00"], engine.caches["c01"]
@@ -89,19 +91,20 @@
 		engine.adjustAllLimits(false)
 	}
 	if high.concurrencyLimit != initial {
-		t.Errorf("bad verdicts on other caches took a limit to %v, not to the initial one of %v",
+		t.Errorf("late attempts at other caches lowered a limit to %v, not to the initial one of %v",
 			high.concurrencyLimit, initial)
 	}
 	for range 1000 {
 		engine.adjustAllLimits(true)
 	}
 	if low.concurrencyLimit != initial/4 {
-		t.Errorf("good verdicts on other caches took a reduced limit to %v", low.concurrencyLimit)
+		t.Errorf("attempts in time at other caches raised a reduced limit to %v", low.concurrencyLimit)
 	}
 }
 
-// Where many replies wait for the origin, a miss that is served in time must let a reduced limit grow again.
-func TestMissOnTimeRaisesCacheLimit(t *testing.T) {
+// When many replies wait for the origin, a miss that is served in time must raise a reduced limit of the
+// cache again.
+func TestMissInTimeRaisesCacheLimit(t *testing.T) {
 	for _, miss := range []bool{true, false} {
 		h := newRouterFleet(t, 8)[0]
 		c := h.engine.caches[h.request(1, "read", 1).Cache]
--- a/policy/golden_caches_test.go
+++ b/policy/golden_caches_test.go
@@ -16,9 +16,9 @@
 	goldenFaultCount
 )
 
-// goldenCache is a cache server of a timeline.
+// goldenCache is a simulated cache server.
 type goldenCache struct {
-	listed        policy.Endpoint // as it is in the endpoint list
+	listed        policy.Endpoint // its entry in the endpoint list
 	nominalWeight float64         // weight without load
 	storedKeys    map[uint64]bool
 	inFlight      int
@@ -26,7 +26,7 @@
 	slowdown      float64 // factor of its service time
 }
 
-// goldenRequest is a request that the engine has got.
+// goldenRequest is a request that was given to the engine.
 type goldenRequest struct {
 	id        int64
 	key       uint64
@@ -60,7 +60,7 @@
 	return cache
 }
 
-// startAttempt plays an attempt at a cache server.
+// startAttempt simulates an attempt at a cache server.
 func (t *goldenTimeline) startAttempt(a policy.Send) {
 	t.totals.sends++
 	request, cache := t.requests[a.ID], t.byID[a.Cache]
@@ -88,7 +88,7 @@
 	t.after(took, func() { t.finishAttempt(request, index, result, miss) })
 }
 
-// outcome draws how an attempt ends and when; a negative time stands for no answer.
+// outcome draws the result of an attempt and the time that it takes; a negative time means that no reply comes.
 func (t *goldenTimeline) outcome(
 	request *goldenRequest, cache *goldenCache,
 ) (result policy.Result, took float64, miss bool) {
@@ -120,7 +120,8 @@
 	return policy.Served, took, miss
 }
 
-// faultOutcome draws how an attempt at a cache server with a fault ends; failed is false where it is not affected.
+// faultOutcome draws the result of an attempt at a cache server with a fault and the time that it takes.
+// failed is false if the fault does not affect the attempt.
 func (t *goldenTimeline) faultOutcome(fault goldenFault) (result policy.Result, took float64, failed bool) {
 	shortTime := float64(millisecond)
 	switch fault {
@@ -138,7 +139,7 @@
 	return policy.Served, 0, false
 }
 
-// finishAttempt ends an attempt, unless it has ended.
+// finishAttempt ends an attempt, unless it has ended before.
 func (t *goldenTimeline) finishAttempt(request *goldenRequest, index int, result policy.Result, miss bool) {
 	attempt := request.attempts[index]
 	if !attempt.pending {
@@ -157,13 +158,13 @@
 		Final: request.done, Miss: miss, Load: policy.LoadReport{Utilization: t.rng.Float64(), ErrorRate: t.rng.Float64()}})
 }
 
-// checkHealth plays a health check.
+// checkHealth simulates a health check.
 func (t *goldenTimeline) checkHealth(cache *goldenCache) {
 	sent := t.now
 	result, took := policy.Served, t.rng.ExpFloat64()*t.meanHitTime*cache.slowdown
 	switch cache.fault {
 	case faultHang:
-		return // the engine counts it by a timer of its own
+		return // the engine has its own timer for checks without a reply
 	case faultUnreachable:
 		result = policy.ConnectFailed
 	case faultReset:
--- a/policy/golden_faults_test.go
+++ b/policy/golden_faults_test.go
@@ -6,7 +6,7 @@
 	"marlstage/policy"
 )
 
-// listedEndpoints returns what is listed.
+// listedEndpoints returns the endpoint list.
 func (t *goldenTimeline) listedEndpoints() []policy.Endpoint {
 	var endpoints []policy.Endpoint
 	for _, cache := range t.caches {
@@ -24,7 +24,7 @@
 	}
 }
 
-// watch answers a Watch action after a while.
+// watch answers a Watch action after 20 ms.
 func (t *goldenTimeline) watch() {
 	t.after(float64(20*millisecond), func() {
 		if t.discoveryDown {
@@ -37,14 +37,14 @@
 	})
 }
 
-// announceChange notifies the engine of a change to one cache server, with the delay of discovery.
+// announceChange notifies the engine of a change to one cache server, after a random delay of discovery.
 func (t *goldenTimeline) announceChange(cache *goldenCache) {
 	t.after(float64(t.rng.IntN(500))*float64(millisecond), func() {
 		t.deliver(policy.UpdateDelta, []policy.Endpoint{cache.listed})
 	})
 }
 
-// updateWeights delivers live weights, which present load has lowered.
+// updateWeights delivers live weights, lowered by the current load, and schedules the next update.
 func (t *goldenTimeline) updateWeights() {
 	var changed []policy.Endpoint
 	for _, cache := range t.caches {
@@ -64,7 +64,7 @@
 	t.after(float64(second)*(0.5+t.rng.Float64()), t.updateWeights)
 }
 
-// injectFault plays a random fault or change and schedules the next.
+// injectFault causes a random fault or change and schedules the next one.
 func (t *goldenTimeline) injectFault() {
 	cache := t.caches[t.rng.IntN(len(t.caches))]
 	duration := t.rng.ExpFloat64() * 4 * float64(second)
@@ -96,7 +96,7 @@
 	t.after(t.rng.ExpFloat64()*t.meanFaultInterval*float64(second), t.injectFault)
 }
 
-// breakZone makes all cache servers of a zone unreachable.
+// breakZone makes all cache servers of a zone unreachable for a time.
 func (t *goldenTimeline) breakZone(zone string, duration float64) {
 	for _, cache := range t.caches {
 		if cache.listed.Zone == zone {
@@ -105,7 +105,7 @@
 	}
 }
 
-// stopDiscovery makes discovery unreachable, which breaks a watch that the settings require.
+// stopDiscovery makes discovery unreachable for a time, which ends the watch if the settings require one.
 func (t *goldenTimeline) stopDiscovery(duration float64) {
 	t.discoveryDown = true
 	if t.watching && t.settings.WatchRequired {
@@ -115,7 +115,7 @@
 	t.after(duration, func() { t.discoveryDown = false })
 }
 
-// breakCache gives a cache server a fault.
+// breakCache gives a cache server a fault for a time.
 func (t *goldenTimeline) breakCache(cache *goldenCache, fault goldenFault, duration float64) {
 	cache.fault = fault
 	if fault == faultSlow {
@@ -132,7 +132,7 @@
 	}
 }
 
-// restart starts the process of a cache server anew; it comes back empty.
+// restart restarts the process of a cache server, which then stores no keys.
 func (t *goldenTimeline) restart(cache *goldenCache) {
 	if !t.restartable {
 		return
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -20,7 +20,7 @@
 
 const (
 	goldenPath       = "testdata/actions.golden"
-	goldenBlocks     = 6   // parallel subtests, each with a digest of its own
+	goldenBlocks     = 6   // parallel subtests, each with its own digest
 	goldenTimelines  = 500 // timelines of one block
 	millisecond      = policy.Time(1_000)
 	second           = 1_000 * millisecond
@@ -28,14 +28,13 @@
 	goldenDrainAfter = 3 * second // events go on for this long after the last request
 )
 
-// goldenRouterCounts are the fleet sizes that the policy is played at.
+// goldenRouterCounts are the numbers of routers that timelines are run with.
 var goldenRouterCounts = [...]int{2, 20, 300, 2_800}
 
-// TestActionsMatchGolden plays random but legal timelines and compares a digest of every action
-// with the one in testdata. The engine is deterministic, so a change that claims to keep its
-// behaviour must keep these digests; run with -update only for a change that means to alter it.
-// Log actions are left out. The file holds for amd64: other processors may fuse floating-point
-// operations.
+// TestActionsMatchGolden runs random timelines of valid events and compares a digest of all actions with the
+// one in testdata. The engine is deterministic, so a change that does not alter its behaviour keeps the
+// digests. Use -update only for a change that is meant to alter it. Log actions are left out of the digest.
+// The golden file is valid for amd64: other processors may fuse floating-point operations.
 func TestActionsMatchGolden(t *testing.T) {
 	lines := make([]string, goldenBlocks)
 	t.Run("blocks", func(t *testing.T) {
@@ -64,7 +63,7 @@
 	}
 }
 
-// runGoldenBlock plays the timelines of one block and returns its line of the golden file.
+// runGoldenBlock runs the timelines of one block and returns its line of the golden file.
 func runGoldenBlock(t *testing.T, block int) string {
 	t.Helper()
 	digest := sha256.New()
@@ -81,7 +80,7 @@
 	return fmt.Sprintf("block=%d %s sha256=%x\n", block, totals, digest.Sum(nil))
 }
 
-// goldenTotals counts what happened, so that a reader of the golden file sees what it covers.
+// goldenTotals counts actions and events, so that the golden file shows what the timelines cover.
 type goldenTotals struct {
 	requests, sends, rejects, fails, cancels, checks, closes, watches, misses, hedges int
 }
@@ -122,7 +121,7 @@
 	meanHitTime       float64 // mean time of a hit, in microseconds
 	meanOriginTime    float64 // mean time that the origin adds, in microseconds
 	originDown        bool
-	rate              float64 // requests a second
+	rate              float64 // requests per second
 	requestsLeft      int     // requests still to come
 	hotKey            uint64
 	hotShare          float64
@@ -130,10 +129,10 @@
 	discoveryDown     bool
 	meanFaultInterval float64 // mean seconds between faults
 	restartable       bool
-	overloaded        bool // other routers overload the cache servers, as live weights show
+	overloaded        bool // other routers overload the cache servers, which lowers live weights
 }
 
-// newGoldenTimeline draws a timeline from a seed; its actions go to the digest.
+// newGoldenTimeline returns a timeline with random parameters drawn from seed. Its actions are added to digest.
 func newGoldenTimeline(seed uint64, digest hash.Hash) (*goldenTimeline, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x60_1d_e2))
 	timeline := &goldenTimeline{
@@ -150,7 +149,7 @@
 	if rng.IntN(3) == 0 {
 		timeline.hotShare = 0.4 * rng.Float64()
 	}
-	if rng.IntN(10) == 0 { // health checks that this router's requests hardly earn
+	if rng.IntN(10) == 0 { // the requests of this router pay for few health checks
 		timeline.settings.HealthCheckCost, timeline.rate, timeline.requestsLeft = 1, 3, 400
 	}
 	timeline.overloaded = rng.IntN(4) == 0
@@ -169,7 +168,7 @@
 
 // goldenSettings draws settings for a fleet of routers.
 func goldenSettings(rng *rand.Rand, routers int) policy.Settings {
-	likely := func(n int) bool { return rng.IntN(n) > 0 }
+	likely := func(n int) bool { return rng.IntN(n) > 0 } // true with probability 1-1/n
 	objective := policy.Time(50+rng.IntN(800)) * millisecond
 	timeout := objective + policy.Time(rng.IntN(2_000))*millisecond
 	class := func(name string, effect policy.Effect, scope policy.DedupScope) policy.Class {
@@ -207,7 +206,7 @@
 	heap.Push(&t.queue, goldenEvent{max(when, t.now), t.sequence, run})
 }
 
-// after schedules an event; span is in microseconds.
+// after schedules an event relative to now; span is in microseconds.
 func (t *goldenTimeline) after(span float64, run func()) { t.at(t.now+policy.Time(span), run) }
 
 // run runs the timeline until goldenDrainAfter after the last request.
@@ -233,7 +232,7 @@
 	}
 }
 
-// handle gives the engine an event, adds its actions to the digest and carries them out.
+// handle gives the engine an event and carries out the resulting actions, which it adds to the digest.
 func (t *goldenTimeline) handle(event policy.Event) {
 	for _, action := range t.engine.Handle(t.now, event) {
 		t.perform(action)
@@ -327,7 +326,7 @@
 	}
 }
 
-// class draws the index of a class; most requests are reads.
+// class draws the index of a class. Most draws are one of the two idempotent classes.
 func (t *goldenTimeline) class() int {
 	if t.rng.IntN(10) < 7 {
 		return t.rng.IntN(2)
@@ -335,14 +334,14 @@
 	return t.rng.IntN(len(t.settings.Classes))
 }
 
-// goldenEvent is something that happens in a timeline at a given time.
+// goldenEvent is an event of a timeline, at a given time.
 type goldenEvent struct {
 	at       policy.Time
-	sequence int // equal times keep their order
+	sequence int // events with equal times run in the order in which they were scheduled
 	run      func()
 }
 
-// goldenQueue is a heap of events by time.
+// goldenQueue is a heap of events by time and sequence.
 type goldenQueue []goldenEvent
 
 func (q goldenQueue) Len() int { return len(q) }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -9,7 +9,7 @@
 const (
 	ms = 1000 // a millisecond in units of Time
 
-	testStart       Time = 1e9      // when the clock of a harness starts
+	testStart       Time = 1e9      // start of a harness's clock
 	testTimeout     Time = 800 * ms // timeout of the classes of testSettings
 	testHarnessSeed      = 7
 )
@@ -54,8 +54,8 @@
 	engine  *Engine
 	now     Time
 	timers  []SetTimer
-	actions []Action       // of the last event
-	observe func([]Action) // called with the actions of each event, where it is set
+	actions []Action       // actions for the last event
+	observe func([]Action) // called with the actions for each event, if set
 }
 
 // newEngineHarness returns a harness for a new engine, which knows no endpoints yet.
@@ -77,8 +77,8 @@
 // routerSeed returns the seed of one router of a fleet.
 func routerSeed(router uint64) uint64 { return router*7919 + 1 }
 
-// newTrafficHarness returns a harness with endpoints and without health checks, so that the engine learns of its
-// caches by requests only.
+// newTrafficHarness returns a harness with endpoints and without health checks, so that the engine learns of
+// its caches by requests only.
 func newTrafficHarness(t *testing.T, caches int, change func(*Settings)) *engineHarness {
 	t.Helper()
 	settings := testSettings()
@@ -121,7 +121,7 @@
 	return all
 }
 
-// popTimer removes the earliest timer that is due by end; ok is false where there is none.
+// popTimer removes and returns the earliest timer that is due by end; ok is false if there is none.
 func (h *engineHarness) popTimer(end Time) (timer SetTimer, ok bool) {
 	first := -1
 	for i, candidate := range h.timers {
@@ -158,18 +158,18 @@
 	h.handle(&AttemptDone{ID: id, Attempt: attempt, Result: Served, Elapsed: 1, Final: true, Load: noLoadReport})
 }
 
-// serveFirstAttempt ends the first attempt of a request with a final reply, which was a cache miss or a hit.
+// serveFirstAttempt ends the first attempt of a request with a final reply, which is a cache miss or a hit.
 func (h *engineHarness) serveFirstAttempt(id int64, miss bool) {
 	h.handle(&AttemptDone{ID: id, Result: Served, Final: true, Miss: miss, Load: noLoadReport})
 }
 
-// finish ends an attempt with a result; final tells whether the request is answered by it.
+// finish ends an attempt with a result; final reports whether it completes the request. It returns the actions.
 func (h *engineHarness) finish(id int64, attempt int, result Result, final bool) []Action {
 	return h.handle(&AttemptDone{ID: id, Attempt: attempt, Result: result, Final: final, Load: noLoadReport})
 }
 
-// runHealthCheckRounds plays rounds of health checks. The faulty cache answers with result, or not at all where
-// result is nil; all others serve.
+// runHealthCheckRounds runs rounds of health checks. Those of the faulty cache end with result, or get no
+// reply if result is nil. Those of all other caches are served.
 func (h *engineHarness) runHealthCheckRounds(count int, faulty string, result *Result) {
 	for completed := 0; completed < count; {
 		checked := healthChecks(h.advance(1 * ms))
--- a/policy/health_burst_test.go
+++ b/policy/health_burst_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestHealthChecksAtOnceAreBounded checks that a router before thousands of caches never checks all at once,
-// and yet checks each of them. A round of thousands of dials kept a router from its requests.
+// TestHealthChecksAtOnceAreBounded checks that a router in front of many caches never checks all of them at
+// once, but does check each of them. A round of thousands of dials delayed the requests of the router.
 func TestHealthChecksAtOnceAreBounded(t *testing.T) {
 	const caches = 1000
 	for name, c := range map[string]struct {
-		requests int // in an interval
-		burst    int // checks at once
+		requests int // requests per health check interval
+		burst    int // health checks that are sent at once
 	}{
 		"few requests":  {0, minCheckBurst},
 		"many requests": {700, 700},
@@ -47,7 +47,7 @@
 				t.Errorf("%d checks at once, want %d", atOnce, c.burst)
 			}
 			if len(checked) != caches {
-				t.Errorf("%d of %d caches are checked in %d rounds", len(checked), caches, rounds)
+				t.Errorf("%d of %d caches were checked in %d rounds", len(checked), caches, rounds)
 			}
 		})
 	}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A cache becomes unhealthy after unhealthyThreshold failed checks in a row, and healthy after one success.
+// A cache becomes unhealthy after unhealthyThreshold consecutive failed checks, and healthy after one success.
 func TestUnhealthyAtThresholdAndRecovery(t *testing.T) {
 	results := []*Result{
 		nil, // no answer
@@ -48,8 +48,8 @@
 	}
 }
 
-// The number of health checks grows with routers times caches while the requests of one router do not, so a
-// router checks no more often than its requests pay for.
+// The number of health checks grows with routers times caches, while the requests of one router do not. So a
+// router sends no more health checks than its requests pay for.
 func TestHealthChecksAreBudgetedByRequests(t *testing.T) {
 	count := func(caches, requests int) (rounds float64) {
 		h := newEngineHarness(t, testSettings())
@@ -65,35 +65,36 @@
 	}
 	busy, limited, idle := count(5, 1280), count(50, 1280), count(5, 1)
 	if busy < 125 || busy > 129 {
-		t.Errorf("%v rounds in 128 drain graces with enough requests, want one each", busy)
+		t.Errorf("%v rounds in 128 drain grace periods with enough requests, want one in each", busy)
 	}
 	if limited < 20 || limited > 30 {
-		t.Errorf("%v rounds of 50 health checks with 1280 requests, want about one for 50 requests", limited)
+		t.Errorf("%v rounds of 50 health checks with 1280 requests, want about one per 50 requests", limited)
 	}
 	if idle < 1 || idle > 3 {
-		t.Errorf("%v rounds of an idle router, want one in %d drain graces", idle, maxSkippedIntervals)
+		t.Errorf("%v rounds of an idle router, want one in %d drain grace periods", idle, maxSkippedIntervals)
 	}
 }
 
-// Caches that answer within the latency objective pass health checks also if the drain grace is short, and a round
-// completes before the next begins.
+// Caches that answer within the latency objective pass health checks even if the drain grace period is short,
+// and a round completes before the next one begins.
 func TestHealthCheckTimingWithShortDrainGrace(t *testing.T) {
 	settings := testSettings()
 	settings.DrainGrace = 50 * ms
 	if got := settings.HealthCheckTimeout(); got != 200*ms {
-		t.Errorf("a health check may take %d", got)
+		t.Errorf("timeout of a health check is %d, want the latency objective", got)
 	}
 	if settings.HealthCheckInterval() <= settings.HealthCheckTimeout() {
 		t.Errorf("rounds every %d, completed after %d", settings.HealthCheckInterval(), settings.HealthCheckTimeout())
 	}
 	settings.DrainGrace = 1000 * ms
 	if settings.HealthCheckTimeout() != 500*ms || settings.HealthCheckInterval() != 1000*ms {
-		t.Errorf("with a long drain grace: timeout %d, every %d",
+		t.Errorf("with a long drain grace period: timeout %d, every %d",
 			settings.HealthCheckTimeout(), settings.HealthCheckInterval())
 	}
 }
 
-// A reduced limit lets so few attempts out that they are slow to show a recovery; a fast health check shows it.
+// Under a reduced limit there are too few attempts to detect a recovery soon. A fast health check restores
+// the limit.
 func TestFastHealthCheckRestoresInitialLimit(t *testing.T) {
 	settings := testSettings()
 	settings.Routers = manyRouters
@@ -115,22 +116,22 @@
 	}
 }
 
-// earnHealthCheckRound pays for the next round of health checks.
+// earnHealthCheckRound raises the health check budget so that it pays for the next round.
 func (h *engineHarness) earnHealthCheckRound() {
 	h.engine.healthCheckBudget = float64(len(h.engine.inService))
 }
 
-// A router that has no file descriptor left for a health check must not take the cache for unhealthy.
+// If a router has no file descriptor left for a health check, it must not count that as a failure of the cache.
 func TestUnsentHealthCheckIsNotCountedAsFailure(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: testEndpoints(3)})
 	h.runHealthCheckRounds(3*unhealthyThreshold, "c01", resultPointer(NotSent))
 	if c := h.engine.caches["c01"]; !c.healthy || c.failedChecks > 0 {
-		t.Errorf("healthy is %v after health checks that were not sent, %d count as failed", c.healthy, c.failedChecks)
+		t.Errorf("after health checks that were not sent: healthy %v, %d failed checks", c.healthy, c.failedChecks)
 	}
 }
 
-// newHealthCheckHarness returns a router of a fleet, whose requests pay for every health check round.
+// newHealthCheckHarness returns one router of a fleet, with health checks.
 func newHealthCheckHarness(t *testing.T, routers, caches int, seed uint64) *engineHarness {
 	t.Helper()
 	settings := testSettings()
@@ -140,11 +141,11 @@
 	return h
 }
 
-// stepsPerInterval is into how many steps playIntervals divides a health check interval.
+// stepsPerInterval is the number of steps into which runHealthCheckIntervals divides a health check interval.
 const stepsPerInterval = 10
 
-// runHealthCheckIntervals lets health check intervals go by in steps and calls checked with the caches that are checked in
-// each step.
+// runHealthCheckIntervals advances the clock by health check intervals, in steps. The budget pays for every
+// round. It calls checked with the caches that are checked in each step.
 func (h *engineHarness) runHealthCheckIntervals(count int, checked func(step int, caches []string)) {
 	for step := range count * stepsPerInterval {
 		h.earnHealthCheckRound()
@@ -153,14 +154,14 @@
 	}
 }
 
-// answerHealthChecks has the caches answer their health checks in time.
+// answerHealthChecks ends the health checks of the caches as served in time.
 func (h *engineHarness) answerHealthChecks(caches []string) {
 	for _, id := range caches {
 		h.handle(&HealthCheckDone{Cache: id, Result: Served, Elapsed: 5 * ms, Load: noLoadReport})
 	}
 }
 
-// countHealthChecks plays health check intervals without answering, and counts the health checks of one cache.
+// countHealthChecks runs health check intervals without replies, and counts the health checks of one cache.
 func (h *engineHarness) countHealthChecks(intervals int, cache string) int {
 	count := 0
 	h.runHealthCheckIntervals(intervals, func(_ int, caches []string) {
@@ -171,8 +172,8 @@
 	return count
 }
 
-// The number of health checks grows with routers times caches and takes the caches' time, so all routers together
-// check a cache maxFleetChecks times per interval at most.
+// Health checks from every router would load the caches of a large fleet. So all routers together check a
+// cache at most maxFleetChecks times per interval.
 func TestFleetHealthCheckRateIsBounded(t *testing.T) {
 	const intervals = 150
 	for _, routers := range []int{2, maxFleetChecks, 300, 1100, 2800} {
@@ -195,7 +196,7 @@
 			for _, checks := range checksByStep[end-stepsPerInterval : end] {
 				sum += checks
 			}
-			// Routers are spread over the interval; the bound allows five standard deviations.
+			// The checks of the routers are spread over the interval; the bound allows five standard deviations.
 			if limit := want + 5*math.Sqrt(want); sum > limit {
 				t.Errorf("%d routers: %.0f health checks of a cache within an interval, more than %.0f", routers, sum, limit)
 				break
@@ -204,15 +205,15 @@
 	}
 }
 
-// Where each router checks a cache only every so many rounds, one that its attempts make suspect is checked in the
-// next round, so that a hung cache is noticed soon.
+// In a large fleet each router checks a cache only in some rounds. A cache that becomes suspect because of an
+// attempt is checked in the next round, so that a hung cache is detected soon.
 func TestSuspectIsCheckedInNextRound(t *testing.T) {
 	for _, result := range []Result{TimedOut, ConnectionLost, ServerError, ConnectFailed} {
 		h := newHealthCheckHarness(t, 2800, 8, 3)
 		h.runHealthCheckIntervals(2, func(_ int, caches []string) { h.answerHealthChecks(caches) })
 		suspect := h.request(1, "read", 1).Cache
 		if result == TimedOut {
-			h.advance(100 * ms) // overdue
+			h.advance(100 * ms) // the attempt is overdue
 		} else {
 			h.finish(1, 0, result, true)
 		}
@@ -221,7 +222,7 @@
 			t.Errorf("result %d: %d health checks of the suspect in two rounds, %d failed",
 				result, checks, h.engine.caches[suspect].failedChecks)
 		}
-		// It fails them, so each round checks it until it is unhealthy; its first answer makes it healthy again.
+		// Its checks fail, so each round checks it until it is unhealthy. Its first reply makes it healthy again.
 		h.runHealthCheckIntervals(unhealthyThreshold, func(int, []string) {})
 		if h.engine.caches[suspect].healthy {
 			t.Errorf("result %d: a cache that fails its health checks is healthy", result)
@@ -235,8 +236,8 @@
 	}
 }
 
-// In overload each cache is suspect to each router, and the checks would add to the load; so those that confirm
-// nothing become less frequent.
+// In overload each router suspects each cache, and the health checks would add to the load. So checks of
+// suspects become less frequent when they confirm no fault.
 func TestUnconfirmedSuspicionsAreCheckedLessOften(t *testing.T) {
 	h := newHealthCheckHarness(t, 2800, 1, 3)
 	c := h.engine.caches["c00"]
@@ -250,12 +251,12 @@
 	if limit := intervals*maxFleetChecks/2800 + 8; checks < 4 || checks > limit {
 		t.Errorf("%d health checks of a suspect that answers them all, want 4 to %d", checks, limit)
 	}
-	// Once it is no suspect any more, its next regular health check resets the count.
+	// When the cache is no longer suspect, its next regular health check resets the count.
 	h.runHealthCheckIntervals(2*2800/maxFleetChecks, func(_ int, caches []string) {
 		c.suspect = false
 		h.answerHealthChecks(caches)
 	})
 	if c.unconfirmedChecks != 0 {
-		t.Errorf("%d unconfirmed suspicions are still counted", c.unconfirmedChecks)
+		t.Errorf("%d unconfirmed checks are still counted", c.unconfirmedChecks)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "marlstage/internal/splitmix"
 
-// Short names for the hashes that tests compare placements with.
+// The hash functions of the placement, under short names.
 func unitInterval(x uint64) float64 { return splitmix.Unit(x) }
 func hash(s string) uint64          { return splitmix.String(s) }
 
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// An overloaded cache serves everything late, so requests above its limit are queued, and shed if they wait long.
+// An overloaded cache serves everything late. So requests above its limit are queued, and shed if they wait
+// too long.
 func TestLimitQueuesThenSheds(t *testing.T) {
 	h := newTrafficHarness(t, 1, nil)
 	h.engine.caches["c00"].recentKeys[0][7] = true // a likely hit, so that the origin limit does not apply
@@ -42,15 +43,15 @@
 	}
 }
 
-// An overloaded cache stays slow while every router keeps one attempt in flight, so a limit below one leaves gaps
-// between attempts.
+// An overloaded cache stays slow if every router always keeps one attempt in flight there. So a limit below
+// one leaves gaps between attempts.
 func TestLimitBelowOneLeavesGaps(t *testing.T) {
 	h := newTrafficHarness(t, 1, nil)
 	c := h.engine.caches["c00"]
 	c.concurrencyLimit = 0.2
 	c.recentKeys[0][7] = true
 	if h.request(1, "read", 7) == nil {
-		t.Fatal("an idle cache gets nothing")
+		t.Fatal("nothing was sent to an idle cache")
 	}
 	h.advance(2 * h.engine.latencyThreshold)
 	h.finish(1, 0, Served, true)
@@ -64,8 +65,8 @@
 	}
 }
 
-// Where all caches are slow by nature, limits must not fall until nothing is served: at the limit of a router's
-// share an attempt may take the whole latency objective.
+// If all caches are slow without any load, the limits must not fall until nothing is served. At a limit of this
+// router's share, an attempt may take the whole latency objective.
 func TestAttemptUnderRouterShareMayTakeLatencyObjective(t *testing.T) {
 	h := newTrafficHarness(t, 1, nil)
 	c := h.engine.caches["c00"]
@@ -81,7 +82,7 @@
 	}
 }
 
-// Continuous load shedding is logged once, not once per request.
+// Continuous load shedding is logged once and not for each request.
 func TestSheddingIsLoggedOnce(t *testing.T) {
 	h := newTrafficHarness(t, 1, nil)
 	all := ""
@@ -94,7 +95,7 @@
 	}
 }
 
-// With thousands of queued requests, trying all of them at each reply would take seconds.
+// With thousands of queued requests, an attempt to place all of them after each reply would take seconds.
 func TestDispatchOfLongQueueIsBounded(t *testing.T) {
 	h := newTrafficHarness(t, 3, nil)
 	for id := range int64(2000) {
@@ -107,7 +108,7 @@
 		t.Fatalf("only %d requests are queued", len(h.engine.queue))
 	}
 	for _, req := range h.engine.queue {
-		req.spilledOver = true // a pick unsets it
+		req.spilledOver = true // selectCache resets it, which shows that the request was tried
 	}
 	h.engine.dispatchQueued()
 	tried := 0
@@ -117,12 +118,12 @@
 		}
 	}
 	if tried == 0 || tried > maxDispatchTries {
-		t.Fatalf("one reply tries %d of %d", tried, len(h.engine.queue))
+		t.Fatalf("one reply tries %d of %d queued requests", tried, len(h.engine.queue))
 	}
 }
 
-// A router of a large fleet learns of a surge from each cache separately, so a verdict on one cache counts in part
-// for all.
+// A router of a large fleet learns of a surge of load from each cache separately. So an adjustment of the
+// limit of one cache is applied in part to the limits of all.
 func TestLimitAdjustmentsAreSharedInPart(t *testing.T) {
 	h := newTrafficHarness(t, 12, nil)
 	for _, c := range h.engine.caches {
@@ -137,21 +138,22 @@
 		}
 		last = int64(key)
 	}
-	h.engine.caches[cache].lastLikelyHitInTime = false // so that the verdict is on the cache and not on the origin
+	// The late attempt must count against the cache and not the origin.
+	h.engine.caches[cache].lastLikelyHitInTime = false
 	h.engine.handleOverdueAttempt(h.engine.requests[last], 0)
 	other, own := h.engine.caches["c00"].concurrencyLimit, h.engine.caches[cache].concurrencyLimit
 	if before-other <= 0 || other <= own {
-		t.Errorf("an overdue write lowers the limit of its cache from %v to %v, of another to %v", before, own, other)
+		t.Errorf("an overdue write lowers the limit of its cache from %v to %v, that of another cache to %v", before, own, other)
 	}
 	for range 1000 {
 		h.engine.adjustAllLimits(false)
 	}
 	if got := h.engine.caches["c00"].concurrencyLimit; got != h.engine.routerShare() {
-		t.Errorf("verdicts on other caches lower a limit to %v, not to this router's share of one attempt", got)
+		t.Errorf("late attempts at other caches lower a limit to %v, not to this router's share of one attempt", got)
 	}
 }
 
-// Caches in overload have a quarter of their attempts overdue, and their limit has to fall.
+// A quarter of the attempts at an overloaded cache are overdue. This must be enough to lower its limit.
 func TestLimitFallsWithAQuarterOverdue(t *testing.T) {
 	engine := &Engine{settings: Settings{Routers: 1}}
 	limit := 8.0
@@ -163,8 +165,8 @@
 	}
 }
 
-// A cache that stalls now and then rejects the few requests that come meanwhile; it must not lose its share of the
-// load for good.
+// A cache that stalls occasionally rejects the few requests that arrive during a stall. This must not reduce
+// its share of the load permanently.
 func TestRejectionByIdleCacheDoesNotLowerLimit(t *testing.T) {
 	h := newTrafficHarness(t, 8, nil)
 	primary := h.request(1, "read", 42).Cache
@@ -175,10 +177,10 @@
 		t.Fatalf("after a rejection by %s: sent to %v", primary, again)
 	}
 	if c.concurrencyLimit != limit {
-		t.Fatalf("after a rejection: limit %v to %v", limit, c.concurrencyLimit)
+		t.Fatalf("a rejection changed the limit from %v to %v", limit, c.concurrencyLimit)
 	}
 	if h.engine.retryBudget != budget {
-		t.Fatalf("after a rejection: retry budget %v to %v", budget, h.engine.retryBudget)
+		t.Fatalf("a rejection changed the retry budget from %v to %v", budget, h.engine.retryBudget)
 	}
 	h.serve(1, 1)
 	c.inFlight = 2 * initialFleetLimit
--- a/policy/origin_test.go
+++ b/policy/origin_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An origin that gets too many requests serves all of them late, so likely misses have a limit of their own.
+// An origin that gets too many requests serves all of them late. So likely misses have a separate limit.
 func TestLikelyMissesAreLimited(t *testing.T) {
 	h := newTrafficHarness(t, 4, nil)
 	for id := range int64(30) {
@@ -29,7 +29,8 @@
 	}
 }
 
-// A late likely miss counts against the origin only if the cache answers its hits in time.
+// A late likely miss counts against the origin if the cache serves its hits in time, and against the cache if
+// not.
 func TestLateMissLowersOriginOrCacheLimit(t *testing.T) {
 	for _, onTime := range []bool{true, false} {
 		h := newTrafficHarness(t, 1, nil)
@@ -39,14 +40,14 @@
 		h.request(1, "read", 7)
 		h.advance(190 * ms)
 		if (c.concurrencyLimit < limit) == onTime || (h.engine.originLimit < originLimit) != onTime {
-			t.Errorf("hit on time %v: limits %v to %v, %v to %v",
+			t.Errorf("hits in time %v: limit of the cache %v to %v, of the origin %v to %v",
 				onTime, limit, c.concurrencyLimit, originLimit, h.engine.originLimit)
 		}
 	}
 }
 
-// A late likely miss at a cache that is warming up does not count against the origin, and a late likely hit makes
-// the cache itself count as late until a hit is on time.
+// A late likely miss at a cache that is warming up does not count against the origin. A late likely hit marks
+// the cache as late until it serves a hit in time.
 func TestLateMissAtWarmingUpOrLateCache(t *testing.T) {
 	h := newTrafficHarness(t, 1, nil)
 	c := h.engine.caches["c00"]
@@ -70,18 +71,19 @@
 	h.request(1, "read", 7)
 	h.advance(150 * ms)
 	if c.lastLikelyHitInTime {
-		t.Error("a cache that was late with a likely hit still counts as on time")
+		t.Error("a cache that was late with a likely hit still counts as in time")
 	}
 	h.serve(1, 0)
 	h.request(2, "read", 7)
 	h.serve(2, 0)
 	if !c.lastLikelyHitInTime {
-		t.Error("after a hit on time it still counts as late")
+		t.Error("a cache that served a hit in time still counts as late")
 	}
 }
 
-// One router of many knows few keys; the origin limit weighs its likely misses by how many were true ones, or most
-// of what it rejects would be hits.
+// One router of many knows few of the cached keys, so most of its likely misses are hits. The origin limit
+// weights likely misses by the share that were misses; otherwise most of the requests that it holds back
+// would be hits.
 func TestOriginLimitCountsExpectedMisses(t *testing.T) {
 	sentAfter := func(miss bool) (sent int) {
 		h := newTrafficHarness(t, 8, nil)
@@ -99,23 +101,23 @@
 		return sent
 	}
 	if hits, misses := sentAfter(false), sentAfter(true); misses != 2 || hits < 10 {
-		t.Errorf("under an origin limit of 2, %d likely misses are sent where all were true misses, %d where none was",
+		t.Errorf("under an origin limit of 2, %d likely misses are sent where all had been misses, %d where none had been",
 			misses, hits)
 	}
 }
 
-// Misses that are slow by nature must not reduce the limit on them to nothing.
+// Misses that are slow without any overload must not reduce the origin limit until no misses are sent.
 func TestFewMissesMayTakeLatencyObjective(t *testing.T) {
 	for _, test := range []struct {
 		originLimit float64
 		after       Time
 		falls       bool
 	}{
-		{20, 150 * ms, true}, // over two per cache and router: late after missObjectiveShare
+		{20, 150 * ms, true}, // over two per cache and router: an attempt is late after missObjectiveShare
 		{4, 150 * ms, false},
 		{4, 210 * ms, true},
 	} {
-		h := newTrafficHarness(t, 8, nil) // of two routers: the share of this one is four likely misses
+		h := newTrafficHarness(t, 8, nil) // one of two routers, whose share is four likely misses
 		h.engine.originLimit = test.originLimit
 		h.request(1, "read", 7)
 		h.advance(test.after)
@@ -125,7 +127,7 @@
 	}
 	h := newTrafficHarness(t, 8, nil)
 	h.engine.originLimit = 1
-	for id := range int64(50) { // each takes 3/4 of the latency objective
+	for id := range int64(50) { // each reply takes 3/4 of the latency objective
 		h.request(id+1, "read", uint64(id))
 		h.advance(150 * ms)
 		h.serveFirstAttempt(id+1, true)
@@ -135,8 +137,8 @@
 	}
 }
 
-// For one router of many nearly every request is a likely miss. A cache that hangs must lose its limit all the
-// same, instead of the origin, if the origin served another cache meanwhile.
+// To one router of many nearly every request is a likely miss. If a cache hangs while the origin serves
+// misses of another cache, the limit of the cache must fall and not the origin limit.
 func TestSilentCacheLimitFallsWhileOriginServes(t *testing.T) {
 	for _, serves := range []bool{true, false} {
 		h := newTrafficHarness(t, 8, nil)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// A router must not have to learn from each cache separately that the links to their zone are down.
+// When the network to a zone is down, a router must not have to find out from each cache of the zone
+// separately.
 func TestUnreachableZoneIsSkipped(t *testing.T) {
 	h := newTrafficHarness(t, 12, func(s *Settings) { s.MaxAttempts = 6 })
-	h.engine.retryBudget = 0 // an attempt without a connection needs none of it
+	h.engine.retryBudget = 0 // a retry after a failed connection does not use it
 	clients := &zoneClients{engineHarness: h, zone: "a"}
 	clients.failUntilUnreachable()
 	if sends := clients.countSends(40); sends != 0 {
@@ -17,7 +18,7 @@
 	h.engine.originLimit = 1e6
 	h.advance(h.engine.settings.WarmupTime/4 + ms)
 	if sends := clients.countSends(40); sends != 1 {
-		t.Errorf("%d trials, want one", sends)
+		t.Errorf("%d half-open trials, want one", sends)
 	}
 	clients.serveAll()
 	if sends := clients.countSends(40); sends < 10 {
@@ -25,11 +26,11 @@
 	}
 }
 
-// zoneClients sends requests, each for a key of its own, and looks at those that go to one zone.
+// zoneClients sends requests, each for a different key, and observes the attempts that go to one zone.
 type zoneClients struct {
 	*engineHarness
 	zone    string
-	lastKey uint64 // and ID of the last request
+	lastKey uint64 // key and ID of the last request
 }
 
 // requestNext gives the engine the next request.
@@ -44,8 +45,8 @@
 	return send != nil && z.engine.caches[send.Cache].Zone == z.zone
 }
 
-// failUntilUnreachable lets connections to the zone fail until the engine takes it for unreachable. Requests are
-// served by other zones then.
+// failUntilUnreachable fails connections to the zone until the engine considers it unreachable. The retries
+// of the requests are served by other zones.
 func (z *zoneClients) failUntilUnreachable() {
 	z.t.Helper()
 	failures := 0
@@ -60,7 +61,7 @@
 			send = &retries[0]
 		}
 		if failures < zoneFailureThreshold {
-			z.engine.zones[z.zone].connectFailures = failures // replies from elsewhere must not reset the count
+			z.engine.zones[z.zone].connectFailures = failures // replies from other zones must not reset the count
 		}
 		z.serve(id, len(z.engine.requests[id].attempts)-1)
 	}
@@ -87,8 +88,8 @@
 	}
 }
 
-// After a restart most of an old endpoint list may be gone. A router must not use up the attempts of each request
-// at caches that do not exist any more.
+// After a restart, a router may start with an old endpoint list, most of whose caches no longer exist. It
+// must not use up the attempts of each request at these caches.
 func TestUnreachableCacheIsSkipped(t *testing.T) {
 	connectFailures, served := 0, 0
 	for _, h := range newRouterFleet(t, 8) {
@@ -97,7 +98,7 @@
 			req := &Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: h.now + 800*ms}
 			sends := sendActions(h.handle(req))
 			for attempt := 0; len(sends) > 0; attempt++ {
-				if sends[0].Cache < "c06" { // the others do not exist any more
+				if sends[0].Cache < "c06" { // c06 and c07 are the only caches that still exist
 					connectFailures++
 					sends = sendActions(h.finish(id, attempt, ConnectFailed, false))
 				} else {
@@ -116,7 +117,7 @@
 	}
 }
 
-// A cache whose connections failed is tried again, and not by all routers at once.
+// A cache whose connections failed is tried again, after a time that differs between routers.
 func TestUnreachableCacheIsRetried(t *testing.T) {
 	trials := map[Time]int{}
 	for _, h := range newRouterFleet(t, 1) {
@@ -125,15 +126,15 @@
 			h.engine.recordConnect(c, false)
 		}
 		if !h.engine.circuitOpen(c) {
-			t.Fatal("an unreachable cache is not skipped")
+			t.Fatal("the circuit of an unreachable cache is not open")
 		}
 		trials[(c.halfOpenAt-h.now)/(50*ms)]++
 		h.now = c.halfOpenAt
 		if h.handle(&TimerFired{}); h.engine.circuitOpen(c) {
-			t.Fatal("no half-open trial")
+			t.Fatal("no half-open trial is allowed")
 		}
 		if h.engine.recordConnect(c, true); h.engine.circuitOpen(c) {
-			t.Fatal("skipped although it was reached")
+			t.Fatal("the circuit is still open after a successful connection")
 		}
 	}
 	for at, routers := range trials {
@@ -143,8 +144,8 @@
 	}
 }
 
-// Many routers that halve their limits step by step would each send a hung cache one attempt after the other, so
-// each of them ejects it at once.
+// If many routers only lowered their limits step by step, each of them would send several attempts to a hung
+// cache. So each router ejects it at once.
 func TestFleetEjectsSilentCacheAtOnce(t *testing.T) {
 	atSilent, elsewhere := 0, 0
 	for _, h := range newRouterFleet(t, 8) {
@@ -178,6 +179,6 @@
 		}
 	}
 	if c.ejected || c.concurrencyLimit < h.engine.initialLimit(c)/2 {
-		t.Errorf("after a reply ejected is %v, the limit %v", c.ejected, c.concurrencyLimit)
+		t.Errorf("after a reply: ejected %v, limit %v", c.ejected, c.concurrencyLimit)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	testReportInterval Time = 100 * ms
-	testReportCapacity      = 50 // requests that a router of the tests can handle in a report's time
+	testReportInterval Time = 100 * ms // time between two delay reports
+	testReportCapacity      = 50 // requests that the simulated router can handle per report interval
 )
 
 // reportDelay gives the engine a delay report and returns the limit that it sets; ok is false if it sets none.
@@ -21,63 +21,63 @@
 	return limit, ok
 }
 
-// TestDelayLimitsRequests checks when the limit on requests is set, moved and taken away.
+// TestDelayLimitsRequests checks when the limit on requests per second is set, changed and removed.
 func TestDelayLimitsRequests(t *testing.T) {
 	h := newTrafficHarness(t, 3, nil)
 	overloadDelay := h.engine.overloadDelay()
 	if _, ok := h.reportDelay(overloadDelay, 100, 0); ok {
-		t.Error("a limit without a delay beyond the bound")
+		t.Error("a limit is set although the delay does not exceed the bound")
 	}
 	h.reportDelay(overloadDelay+1, 100, 0)
 	first, ok := h.reportDelay(overloadDelay+1, 100, 0)
 	if !ok || first.PerSecond >= 1000*maxDecreaseFactor || first.PerSecond < 999*maxDecreaseFactor || first.RetryAfter != 200*ms {
-		t.Errorf("limit %+v, want most of the 1,000 requests a second that were taken", first)
+		t.Errorf("limit %+v, want most of the 1,000 requests per second that were handled", first)
 	}
 	if !strings.Contains(logText(h.actions), "router overloaded active=true") {
 		t.Error("the overload is not logged")
 	}
 	if second, _ := h.reportDelay(10*overloadDelay, 200, 0); second.PerSecond != first.PerSecond*minDecreaseFactor {
-		t.Errorf("limit %v behind %v, though the router is far behind", second.PerSecond, first.PerSecond)
+		t.Errorf("limit %v after %v, though the delay is far beyond the bound", second.PerSecond, first.PerSecond)
 	}
 	for range 100 {
 		h.reportDelay(overloadDelay+1, 0, 10)
 	}
 	minimum, _ := h.reportDelay(overloadDelay+1, 0, 10)
 	if minimum.PerSecond != minRequestRate {
-		t.Errorf("limit %v, want %v at least", minimum.PerSecond, minRequestRate)
+		t.Errorf("limit %v, want the minimum of %v", minimum.PerSecond, minRequestRate)
 	}
 	if raised, _ := h.reportDelay(0, 1, 10); raised.PerSecond <= minimum.PerSecond {
-		t.Errorf("limit %v behind %v, though the router has caught up", raised.PerSecond, minimum.PerSecond)
+		t.Errorf("limit %v after %v, though the router has no delay any more", raised.PerSecond, minimum.PerSecond)
 	}
 	if removed, ok := h.reportDelay(0, 1, 0); !ok || removed.PerSecond != 0 {
-		t.Errorf("limit %v that rejects nothing", removed.PerSecond)
+		t.Errorf("limit %v is kept though it rejects nothing", removed.PerSecond)
 	}
 	if _, ok := h.reportDelay(0, 1, 0); ok {
-		t.Error("a limit is set without need")
+		t.Error("a limit is set again without need")
 	}
 }
 
-// TestStallDoesNotLimitRequests checks that a single report of late requests, as after a stall of the process,
-// sets no limit, however often that happens.
+// TestStallDoesNotLimitRequests checks that a single report of a long delay, as after a stall of the process,
+// sets no limit, even if it happens repeatedly.
 func TestStallDoesNotLimitRequests(t *testing.T) {
 	h := newTrafficHarness(t, 3, nil)
 	for range 20 {
 		for _, delay := range []Time{150 * ms, 0} {
 			if limit, ok := h.reportDelay(delay, 1, 0); ok {
-				t.Fatalf("limit %v though the router has caught up with each stall", limit.PerSecond)
+				t.Fatalf("limit %v, though the router has no delay after each stall", limit.PerSecond)
 			}
 		}
 	}
 }
 
-// TestGoodputBeyondCapacity plays a router that gets several times what it can handle: it has to take nearly
-// what it can, and to be without a limit soon after.
+// TestGoodputBeyondCapacity simulates a router that gets several times the requests that it can handle. It
+// must use most of its capacity meanwhile, and have no limit soon after the overload.
 func TestGoodputBeyondCapacity(t *testing.T) {
 	const (
-		offered         = 4 * testReportCapacity // in a report's time
+		offered         = 4 * testReportCapacity // requests per report interval
 		measuredReports = 200
-		settlingReports = 20 // reports until the limit is about right
-		recoveryReports = 20 // reports, 2 s
+		settlingReports = 20 // reports until the limit has settled
+		recoveryReports = 20 // 2 s
 	)
 	h := newTrafficHarness(t, 3, nil)
 	limit, backlog, handled := float64(0), 0.0, 0.0
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestRequestThatCannotBeAnsweredInTimeIsRejected checks that a router which handles everything late starts
-// nothing whose reply it would handle behind the deadline.
+// TestRequestThatCannotBeAnsweredInTimeIsRejected checks that a router with a long delay starts no request
+// whose reply it would handle after the deadline.
 func TestRequestThatCannotBeAnsweredInTimeIsRejected(t *testing.T) {
 	h := newTrafficHarness(t, 3, nil)
 	h.reportDelay(testTimeout, 10, 0)
@@ -128,6 +128,6 @@
 	h.reportDelay(testTimeout, 10, 0)
 	h.advance(delayReportLifetime * testReportInterval)
 	if h.request(3, "once", 3) == nil {
-		t.Error("a request is rejected for a delay of long ago")
+		t.Error("a request is rejected because of an expired delay report")
 	}
 }
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Routers that learn of the endpoints in different orders place every key alike.
+// Routers that learn of the endpoints in different orders place every key at the same cache.
 func TestPlacementIgnoresEndpointOrder(t *testing.T) {
 	endpoints := testEndpoints(9)
 	shuffled := append([]Endpoint(nil), endpoints...)
@@ -33,7 +33,7 @@
 func TestUnhealthyCacheIsSkippedUnlessAllAre(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: testEndpoints(6)})
-	h.engine.requestCounts[1] = 1000 // so that the key is not a hot one
+	h.engine.requestCounts[1] = 1000 // so that the key is not hot
 	primary := h.request(1, "read", 42).Cache
 	h.serve(1, 0)
 	h.engine.caches[primary].healthy = false
@@ -45,7 +45,7 @@
 		c.healthy = false
 	}
 	if s := h.request(3, "read", 42); s == nil || s.Cache != primary {
-		t.Fatalf("with all unhealthy the primary is to be used: %v", s)
+		t.Fatalf("with all caches unhealthy, want the primary, got %v", s)
 	}
 }
 
@@ -90,8 +90,8 @@
 	}
 }
 
-// Keys that spill over miss wherever they go and load the origin, so this takes spare origin capacity or the retry
-// budget.
+// A key that spills over to another cache misses there and loads the origin. So spillover requires spare
+// capacity of the origin, or uses the retry budget.
 func TestSpilloverUsesRetryBudget(t *testing.T) {
 	h := newTrafficHarness(t, 4, nil)
 	primary := h.request(1, "read", 42).Cache
@@ -105,7 +105,7 @@
 	for _, c := range h.engine.caches {
 		c.recentKeys = [2]map[uint64]bool{{}, {}}
 	}
-	h.engine.originLimit, h.engine.missesInFlight = 9, 5 // over half used, so the origin has no spare capacity
+	h.engine.originLimit, h.engine.missesInFlight = 9, 5 // over half is used, so the origin has no spare capacity
 	if s := h.request(3, "read", 42); s != nil {
 		t.Fatalf("spillover without retry budget: %v", s)
 	}
@@ -115,7 +115,8 @@
 	}
 }
 
-// An unhealthy primary must not count as lacking capacity, or its keys would be rejected for want of retry budget.
+// An unhealthy primary must not count as lacking capacity. Without retry budget its keys would otherwise be
+// rejected.
 func TestUnhealthyPrimaryIsNotOverload(t *testing.T) {
 	h := newTrafficHarness(t, 4, nil)
 	primary := h.request(1, "read", 42).Cache
@@ -128,7 +129,7 @@
 	}
 }
 
-// A weight that falls with the load must not move keys with every endpoint update.
+// Live weights fall as the load rises. They must not move keys with every endpoint update.
 func TestLiveWeightsDoNotMoveKeys(t *testing.T) {
 	for _, live := range []bool{true, false} {
 		h := newTrafficHarness(t, 8, func(s *Settings) { s.LiveWeights = live })
@@ -141,7 +142,7 @@
 			h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: endpoints})
 			primary := primaryOf(h.engine, key)
 			for i := range endpoints {
-				endpoints[i].Weight /= float64(1 + (int(key)+i)%3) // as the load varies
+				endpoints[i].Weight /= float64(1 + (int(key)+i)%3) // live weights vary with the load
 			}
 			h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: endpoints})
 			if primaryOf(h.engine, key) != primary {
@@ -154,7 +155,7 @@
 	}
 }
 
-// primaryOf returns the ID of the first choice for a key.
+// primaryOf returns the ID of the primary cache of a key.
 func primaryOf(engine *Engine, key uint64) string {
 	return engine.rankCaches(key, 1)[0].ID
 }
@@ -189,7 +190,7 @@
 		t.Errorf("a key seen three times went to %d caches", len(rareKeyCaches))
 	}
 	if len(hotKeyCaches) < 10 {
-		t.Errorf("a key that half of all requests are for went to %d caches", len(hotKeyCaches))
+		t.Errorf("a key with half of all requests went to %d caches", len(hotKeyCaches))
 	}
 }
 
@@ -204,8 +205,8 @@
 	h.handle(&EndpointsUpdate{Kind: UpdateDelta, Endpoints: endpoints})
 }
 
-// Routers take keys off an overloaded cache by its live weight: each of many would otherwise learn of the overload
-// by sending one more attempt.
+// Routers move keys away from an overloaded cache when its live weight falls. Otherwise each of many routers
+// would send it at least one more attempt to learn of the overload.
 func TestFleetMovesKeysOffOverloadedCache(t *testing.T) {
 	const primary = "c03"
 	harnesses := newRouterFleet(t, 8)
@@ -235,13 +236,13 @@
 		return float64(sent) / float64(requests)
 	}
 	if got := primaryShare(); got < .95 {
-		t.Fatalf("%.2f of a cache's keys went there before it was overloaded", got)
+		t.Fatalf("%.2f of a cache's requests went there before it was overloaded", got)
 	}
 	for _, h := range harnesses {
 		h.updateWeight(primary, .05) // 19 requests in flight per core
 	}
 	if got := primaryShare(); got > .3 {
-		t.Errorf("%.2f of an overloaded cache's keys still went there", got)
+		t.Errorf("%.2f of an overloaded cache's requests still went there", got)
 	}
 	for _, h := range harnesses {
 		h.updateWeight(primary, 1)
@@ -249,11 +250,11 @@
 		h.updateWeight(primary, 1)
 	}
 	if got := primaryShare(); got < .95 {
-		t.Errorf("%.2f of a cache's keys came back after the overload", got)
+		t.Errorf("%.2f of a cache's requests went there after the overload", got)
 	}
 }
 
-// A cache that leaves moves only its own keys.
+// The removal of a cache moves only the keys whose primary it was.
 func TestRemovedCacheMovesOnlyItsKeys(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	endpoints := testEndpoints(4)
@@ -274,7 +275,7 @@
 	}
 }
 
-// Each cache is the primary of a share of the keys that is in proportion to its weight.
+// The share of the keys whose primary is a given cache is proportional to its weight.
 func TestKeysFollowWeights(t *testing.T) {
 	const keys = 20_000
 	h := newEngineHarness(t, testSettings())
--- a/policy/race_on_test.go
+++ b/policy/race_on_test.go
@@ -2,5 +2,5 @@
 
 package policy
 
-// raceSlowdown is by how much the race detector slows the tests down, at most.
+// raceSlowdown is an upper bound of the factor by which the race detector slows the tests down.
 const raceSlowdown = 8
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -9,7 +9,7 @@
 // finalAnswerGrace is how long after the deadline a final answer is still in time.
 const finalAnswerGrace = 20 * ms
 
-// Random events never make an engine break the rules that invariantChecker checks.
+// Whatever events an engine gets, it keeps the rules that invariantChecker checks.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range int64(150) {
 		runRandomEvents(t, seed, 1500)
@@ -25,8 +25,7 @@
 	}
 }
 
-// runRandomEvents gives an engine a random stream of events drawn from seed, checks every action and returns all
-// of them.
+// runRandomEvents gives an engine random events drawn from seed, checks every action and returns all of them.
 func runRandomEvents(t *testing.T, seed int64, steps int) []Action {
 	source := newRandomEventSource(t, seed)
 	source.updateEndpoints(UpdateStale, testEndpoints(source.rng.Intn(8)))
@@ -48,7 +47,7 @@
 	harness *engineHarness
 	checker *invariantChecker
 	classes map[string]Class
-	actions []Action // all so far
+	actions []Action // all actions of the engine so far
 }
 
 func newRandomEventSource(t *testing.T, seed int64) *randomEventSource {
@@ -79,7 +78,7 @@
 	return s
 }
 
-// step plays one random event; a request gets the given ID.
+// step gives the engine one random event. A new request gets the given ID.
 func (s *randomEventSource) step(id int64) {
 	switch percent := s.rng.Intn(100); {
 	case percent < 50:
@@ -100,7 +99,7 @@
 	}
 }
 
-// sendRequest plays a new request of a random class; reads are the most frequent.
+// sendRequest gives the engine a new request of a random class. Reads are the most frequent.
 func (s *randomEventSource) sendRequest(id int64) {
 	names := []string{"read", "read", "read", "all", "zone", "cell", "once", "unknown"}
 	name := names[s.rng.Intn(len(names))]
@@ -119,7 +118,7 @@
 	s.harness.handle(&ClientGone{ID: gone})
 }
 
-// changeEndpoint updates one endpoint: its state, or its start.
+// changeEndpoint updates the state or the start time of one endpoint.
 func (s *randomEventSource) changeEndpoint() {
 	endpoint := testEndpoints(10)[s.rng.Intn(10)]
 	endpoint.State = EndpointState(s.rng.Intn(3))
@@ -129,7 +128,7 @@
 	s.updateEndpoints(UpdateDelta, []Endpoint{endpoint})
 }
 
-// updateEndpoints gives the engine an endpoint update and the checker what it says.
+// updateEndpoints gives the engine an endpoint update, which the checker records first.
 func (s *randomEventSource) updateEndpoints(kind UpdateKind, endpoints []Endpoint) {
 	s.checker.recordEndpoints(kind, endpoints)
 	s.harness.handle(&EndpointsUpdate{Kind: kind, Endpoints: endpoints})
@@ -160,17 +159,18 @@
 	}
 }
 
-// invariantChecker checks every action of one engine against the rules that it has to keep: one final answer in
-// time, no effect twice, nothing to draining caches, and nothing that the settings forbid.
+// invariantChecker checks every action of one engine against the rules that it must keep: one final answer in
+// time, no repeat of a request that might have an effect twice, no attempts at draining caches after the
+// drain grace period, and no actions that the settings forbid.
 type invariantChecker struct {
 	harness    *engineHarness
 	settings   Settings
 	requests   map[int64]*checkedRequest
-	endpoints  map[string]Endpoint // all ever listed
-	notifiedAt map[string]Time     // since when a cache is known to be draining or gone
+	endpoints  map[string]Endpoint // all endpoints that were ever listed
+	notifiedAt map[string]Time     // when the engine was notified that a cache is draining or removed
 }
 
-// checkedRequest is what the checker knows of a request.
+// checkedRequest is the checker's state of a request.
 type checkedRequest struct {
 	class    Class
 	deadline Time
@@ -185,7 +185,7 @@
 	result   Result
 }
 
-// mayHaveRun reports whether the attempt may have been carried out.
+// mayHaveRun reports whether the cache may have carried out the request of the attempt.
 func (a checkedAttempt) mayHaveRun() bool { return a.pending || !a.result.NeverRan() }
 
 func newInvariantChecker(h *engineHarness, settings Settings) *invariantChecker {
@@ -195,7 +195,7 @@
 	}
 }
 
-// recordEndpoints records an endpoint update that the engine is about to get.
+// recordEndpoints records an endpoint update before the engine gets it.
 func (c *invariantChecker) recordEndpoints(kind UpdateKind, endpoints []Endpoint) {
 	if kind != UpdateDelta {
 		for id := range c.endpoints {
@@ -212,7 +212,7 @@
 	}
 }
 
-// recordUnavailable records that the engine is notified of a draining or removed cache, if it was not before.
+// recordUnavailable records that the engine is notified of a draining or removed cache, unless it was before.
 func (c *invariantChecker) recordUnavailable(id string) {
 	if _, ok := c.notifiedAt[id]; !ok {
 		c.notifiedAt[id] = c.harness.now
@@ -244,21 +244,21 @@
 	t.Helper()
 	req := c.requests[send.ID]
 	if req == nil || req.done {
-		t.Fatalf("send for a request that is over: %v", send)
+		t.Fatalf("send for a request that is unknown or done: %v", send)
 	}
 	if now >= req.deadline || len(req.attempts) >= c.settings.MaxAttempts || send.Deadline <= now {
-		t.Fatalf("send after deadline or attempts: %v", send)
+		t.Fatalf("send after the deadline or beyond MaxAttempts: %v", send)
 	}
 	endpoint, ok := c.endpoints[send.Cache]
 	if !ok {
 		t.Fatalf("send to a cache never listed: %v", send)
 	}
 	if since, ok := c.notifiedAt[send.Cache]; ok && now > since+c.settings.DrainGrace {
-		t.Fatalf("send to a draining or gone cache: %v", send)
+		t.Fatalf("send to a draining or removed cache: %v", send)
 	}
 	for _, earlier := range req.attempts {
 		if earlier.pending && !c.settings.HedgingAllowed {
-			t.Fatalf("two pending at once: %v", send)
+			t.Fatalf("hedge although hedging is not allowed: %v", send)
 		}
 		if earlier.mayHaveRun() && !mayRepeat(req.class, earlier, endpoint, now) {
 			t.Fatalf("%s could run twice: %v", req.class.Name, send)
@@ -287,7 +287,7 @@
 	return true
 }
 
-// checkReject checks that a request may run again after the client has been advised to retry.
+// checkReject checks that a rejection is the first final answer and that a retry by the client is harmless.
 func (c *invariantChecker) checkReject(reject Reject) {
 	c.harness.t.Helper()
 	c.checkFinalAnswer(reject.ID)
@@ -303,13 +303,13 @@
 	}
 }
 
-// checkFinalAnswer checks that a final answer is the first one and in time.
+// checkFinalAnswer checks that a final answer is the first one of its request, and in time.
 func (c *invariantChecker) checkFinalAnswer(id int64) {
 	t := c.harness.t
 	t.Helper()
 	req := c.requests[id]
 	if req == nil || req.done {
-		t.Fatalf("request %d: a second final answer", id)
+		t.Fatalf("request %d: final answer for a request that is unknown or done", id)
 	}
 	if c.harness.now > req.deadline+finalAnswerGrace && len(req.attempts) > 0 {
 		t.Fatalf("request %d answered late", id)
@@ -321,13 +321,13 @@
 	c.harness.t.Helper()
 	req := c.requests[cancel.ID]
 	if req == nil || cancel.Attempt >= len(req.attempts) || !c.settings.CancelAllowed {
-		c.harness.t.Fatalf("cancel of an attempt never sent: %v", cancel)
+		c.harness.t.Fatalf("cancel that is not allowed, or of an attempt that was never sent: %v", cancel)
 	}
 }
 
 func (c *invariantChecker) checkHealthCheck(check HealthCheck) {
 	c.harness.t.Helper()
 	if _, ok := c.endpoints[check.Cache]; !ok || !c.settings.HealthChecksAllowed {
-		c.harness.t.Fatalf("health check that is not allowed: %v", check)
+		c.harness.t.Fatalf("health check that is not allowed, or of a cache that was never listed: %v", check)
 	}
 }
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestPickMatchesFullRanking compares picks with those of a walk through the ranking of all caches, in fleets
-// of random states. Groups, cutoffs and kept rankings must not change a decision.
+// TestPickMatchesFullRanking compares the selected caches with those that a search of the ranking of all
+// caches finds, in fleets of random states. Groups, cutoffs and cached rankings must not change a decision.
 func TestPickMatchesFullRanking(t *testing.T) {
 	picked, fallbacks, overloads, beyondPrefix := 0, 0, 0, 0
 	for seed := range uint64(400) {
@@ -25,12 +25,12 @@
 			e.rng, req.originLimited = savedRNG, false
 			got, overloaded := e.selectCache(req)
 			if got != want || overloaded != wantOverloaded || req.spilledOver != wantSpilled || req.originLimited != wantLimited {
-				t.Fatalf("seed %d: picked %v, overloaded %t, want %v and %t", seed, nameOf(got), overloaded, nameOf(want),
+				t.Fatalf("seed %d: selected %v, overloaded %t, want %v and %t", seed, nameOf(got), overloaded, nameOf(want),
 					wantOverloaded)
 			}
 			e.rng = savedRNG
 			if again, _ := e.selectCache(req); again != got {
-				t.Fatalf("seed %d: picked %v at first and %v then", seed, nameOf(got), nameOf(again))
+				t.Fatalf("seed %d: selected %v at first and %v when repeated", seed, nameOf(got), nameOf(again))
 			}
 			picked += boolToInt(got != nil)
 			fallbacks += boolToInt(got != nil && (e.circuitOpen(got) || !got.usable()))
@@ -38,9 +38,9 @@
 			beyondPrefix += boolToInt(walked > minRankedCaches)
 		}
 	}
-	t.Logf("%d picked, %d of them fallbacks, %d overloaded, %d beyond the prefix", picked, fallbacks, overloads, beyondPrefix)
+	t.Logf("%d selected, %d of them fallbacks, %d overloaded, %d beyond the prefix", picked, fallbacks, overloads, beyondPrefix)
 	if min(picked, fallbacks, overloads, beyondPrefix) < 100 {
-		t.Error("a case is hardly met")
+		t.Error("a case occurs too rarely to be tested")
 	}
 }
 
@@ -51,8 +51,8 @@
 	return c.ID
 }
 
-// pickByFullRanking picks by a walk through the ranking of all caches in service, and returns how many of
-// them it walked through.
+// pickByFullRanking selects a cache by a search of the ranking of all caches in service. It also returns how
+// many caches it searched.
 func pickByFullRanking(e *Engine, req *request) (picked *cache, lacksCapacity bool, walked int) {
 	req.spilledOver = false
 	ranking := slices.Clone(e.inService)
@@ -77,7 +77,7 @@
 	return selection.fallback, false, walked
 }
 
-// newRandomFleet returns an engine before caches in random states.
+// newRandomFleet returns an engine in front of caches in random states.
 func newRandomFleet(t *testing.T, seed uint64) (*Engine, *rand.Rand) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -112,7 +112,7 @@
 	return e, rng
 }
 
-// randomizeCaches gives the caches loads, limits, health and circuits.
+// randomizeCaches gives the caches random loads, limits, health and circuit states.
 func randomizeCaches(e *Engine, rng *rand.Rand) {
 	badShare := []float64{0, 0.1, 0.5, 1}
 	refusing, unhealthy, full, used := badShare[rng.IntN(4)], badShare[rng.IntN(4)], badShare[rng.IntN(4)], badShare[rng.IntN(4)]
@@ -132,7 +132,8 @@
 	}
 }
 
-// randomRequest returns a request, with attempts before in some cases.
+// randomRequest returns a request for a random key, which is hot in some cases, with up to two earlier
+// attempts.
 func randomRequest(e *Engine, rng *rand.Rand) *request {
 	class := &e.settings.Classes[rng.IntN(len(e.settings.Classes))]
 	key := rng.Uint64()
@@ -152,8 +153,9 @@
 	return req
 }
 
-// TestGroupsFollowUpdates holds after random updates that the groups have each cache in service once, in the
-// right group and order, and that the sums kept over the warm caches are those made anew.
+// TestGroupsFollowUpdates checks, after random updates, that each cache in service is in one group, which is
+// the right one, and at its place in the order. The sums that are updated step by step must equal recomputed
+// ones.
 func TestGroupsFollowUpdates(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -178,13 +180,14 @@
 	}
 }
 
-// checkGroup checks one group and returns what its caches have accepted lately, if they are warm.
+// checkGroup checks one group and returns the recently accepted attempts of its caches, or 0 if they are
+// warming up.
 func checkGroup(t *testing.T, e *Engine, group *cacheGroup) (warmLoad float64) {
 	t.Helper()
 	for i, c := range group.caches {
 		rightGroup := c.State == InService && c.group == group && e.groupKeyOf(c) == group.groupKey
 		if !rightGroup || group.hashes[i] != c.hash || c.Weight > group.maxWeight {
-			t.Fatalf("%s is in a wrong group", c.ID)
+			t.Fatalf("%s is in the wrong group", c.ID)
 		}
 		if group.warmingUp && i > 0 && group.caches[i-1].warmupFrom > c.warmupFrom {
 			t.Fatalf("%s is out of order", c.ID)
@@ -209,14 +212,14 @@
 	}
 	ordered := slices.IsSortedFunc(e.inService, func(a, b *cache) int { return cmp.Compare(a.ID, b.ID) })
 	if members != inService || len(e.inService) != inService || !ordered {
-		t.Fatalf("%d in groups, %d listed, in order %t, want %d", members, len(e.inService), ordered, inService)
+		t.Fatalf("%d caches in groups, %d in inService, in order %t, want %d", members, len(e.inService), ordered, inService)
 	}
 	if kept := e.warmLoad.At(e.now, e.settings.OverloadTime); math.Abs(kept-load) > 1e-6 {
-		t.Fatalf("load of the warm caches %v, made anew %v", kept, load)
+		t.Fatalf("load of the warm caches %v, recomputed %v", kept, load)
 	}
 	cached := *e.weightSums()
 	e.sums.valid = false
 	if recomputed := *e.weightSums(); recomputed != cached {
-		t.Fatalf("sums %v, made anew %v", cached, recomputed)
+		t.Fatalf("sums %v, recomputed %v", cached, recomputed)
 	}
 }
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The effect of a class decides where a request may be sent again, and whether it may be rejected, after each result.
+// The effect of a class decides, for each result of an attempt, where the request may be retried and whether
+// it may be rejected.
 func TestEffectRules(t *testing.T) {
 	for _, class := range []string{"read", "all", "zone", "cell", "once", "unknown"} {
 		for result := ServerError; result <= NotStored; result++ {
@@ -11,7 +12,7 @@
 	}
 }
 
-// checkEffectRules checks the rules on repeats for a request whose only attempt has ended with result.
+// checkEffectRules checks these rules for a request whose only attempt ended with result.
 func checkEffectRules(t *testing.T, class string, result Result) {
 	t.Helper()
 	h := newEngineHarness(t, testSettings())
@@ -27,11 +28,11 @@
 	for _, c := range h.engine.inService {
 		want := repeatableAnywhere || class == "zone" && c.Zone == from.Zone || class == "cell" && c.Group == from.Group
 		if got := h.engine.canSend(req, c); got != want {
-			t.Errorf("%s after %d: canSend to another = %v, want %v", class, result, got, want)
+			t.Errorf("%s after result %d: canSend = %v, want %v", class, result, got, want)
 		}
 	}
 	if got := h.engine.canReject(req); got != repeatableAnywhere {
-		t.Errorf("%s after %d: canReject = %v, want %v", class, result, got, repeatableAnywhere)
+		t.Errorf("%s after result %d: canReject = %v, want %v", class, result, got, repeatableAnywhere)
 	}
 	h.now += 501 * ms
 	h.engine.now = h.now
@@ -40,7 +41,7 @@
 	}
 }
 
-// Retries must not feed the overload that caused them.
+// Retries must not add to the overload that caused them, so they are limited to a share of the requests.
 func TestRetryBudget(t *testing.T) {
 	h := newTrafficHarness(t, 8, nil)
 	retries := 0
@@ -56,13 +57,13 @@
 	}
 }
 
-// canSend enforces the rules on repeats whichever cache placement offers it.
+// canSend enforces the rules on retries and hedges for any cache.
 func TestCanSend(t *testing.T) {
 	h := newTrafficHarness(t, 3, func(s *Settings) { s.HedgingAllowed = false })
 	h.request(1, "read", 9)
 	req, c := h.engine.requests[1], h.engine.inService[0]
 	if h.engine.canSend(req, c) {
-		t.Error("a hedge where hedging is not allowed")
+		t.Error("a hedge is possible though hedging is not allowed")
 	}
 	req.attempts[0].pending = false
 	if !h.engine.canSend(req, c) {
@@ -78,7 +79,7 @@
 	if h.engine.canSend(req, c) {
 		t.Error("sent although the response has started")
 	}
-	// A non-idempotent class is never repeated, also if its settings name a scope and a key TTL.
+	// A non-idempotent request is never repeated, even if its class has a deduplication scope and a key TTL.
 	class := &Class{Effect: NonIdempotent, DedupScope: ScopeAll, KeyTTL: 1e9}
 	req = &request{Request: &Request{Deadline: h.now + 1e6}, class: class, attempts: []attempt{{cache: c, sentAt: h.now}}}
 	if h.engine.canSend(req, c) || h.engine.canReject(req) {
@@ -86,8 +87,8 @@
 	}
 }
 
-// A hung cache answers nothing until its health checks have failed; until then late attempts there are hedged, and
-// only there.
+// It takes several failed health checks until a hung cache is unhealthy. Until then its late attempts are
+// hedged. Late attempts at caches that answer others are not.
 func TestOnlySilentCacheIsHedged(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		h := newTrafficHarness(t, 4, nil)
@@ -119,7 +120,7 @@
 	}
 }
 
-// A network that resets connections must not use up the retry budget, which is meant for overload.
+// Connection resets by the network must not use up the retry budget, which is meant for overload.
 func TestConnectionResetsUseNoRetryBudget(t *testing.T) {
 	h := newTrafficHarness(t, 8, nil)
 	for id := range int64(100) {
@@ -139,7 +140,8 @@
 	}
 }
 
-// A retry at another cache would miss, and connection resets would load the origin.
+// A retry at another cache would miss and load the origin. So the retry after one connection reset goes to
+// the same cache.
 func TestOneConnectionResetDoesNotMoveKey(t *testing.T) {
 	h := newTrafficHarness(t, 8, nil)
 	primary := h.request(1, "read", 42).Cache
@@ -153,8 +155,8 @@
 	}
 }
 
-// A retry with an idempotency key must start before caches stop dropping duplicates, counted from the first attempt
-// that may have run. No other attempt has such a limit.
+// A retry with an idempotency key must start before the key expires, counted from the first attempt that may
+// have run. Other attempts have no StartBefore.
 func TestRetryStartsBeforeDedupExpires(t *testing.T) {
 	for class, keyed := range map[string]bool{"read": false, "all": true} {
 		for result, ran := range map[Result]bool{ConnectionLost: true, ConnectFailed: false} {
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// Callers find the field that is out of range by the type of the error.
 func TestSettingsErrorIsTyped(t *testing.T) {
 	s := testSettings()
 	s.Routers = -3
@@ -20,6 +21,7 @@
 	}
 }
 
+// Callers recognise settings without classes by ErrNoClasses.
 func TestErrNoClassesIsSentinel(t *testing.T) {
 	s := testSettings()
 	s.Classes = nil
@@ -28,7 +30,7 @@
 	}
 }
 
-// An error names the field as the caller knows it.
+// A SettingsError names a field that exists in Settings or Class.
 func TestSettingsErrorsNameExistingFields(t *testing.T) {
 	s := testSettings()
 	for _, field := range s.fields() {
@@ -37,7 +39,7 @@
 			owner, name = reflect.TypeFor[Class](), inClass
 		}
 		if _, ok := owner.FieldByName(name); !ok {
-			t.Errorf("%s is no field of %s", field.name, owner)
+			t.Errorf("%s is not a field of %s", field.name, owner)
 		}
 	}
 }
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	simulationStartup = 4000 * ms // from the start of the routers until caches restart
-	simulatedRate     = 20.       // requests a second that a warm cache of weight 1 can do
+	simulationStartup = 4000 * ms // time from the start of the routers until caches restart
+	simulatedRate     = 20.       // requests per second that a warm cache of weight 1 can serve
 )
 
-// simulation plays a fleet of engines against simulated caches and clients. All engines are real; they run events
-// in order of time. Embedding types say in perform what the engines' actions lead to.
+// simulation runs the engines of a fleet of routers against simulated caches and clients, with events in
+// order of time. A type that embeds it sets perform, which simulates the effects of the engines' actions.
 type simulation struct {
 	t         *testing.T
 	rng       *rand.Rand
 	settings  Settings
 	now       Time
-	restartAt Time // when caches restart; what comes before only warms the routers up
-	end       Time // events from then on are dropped
+	restartAt Time // when caches restart; before it, routers only collect state
+	end       Time // events at this time or later are dropped
 	queue     eventQueue
 	sequence  int
 	engines   []*Engine
-	perform   func(router int, action Action) // carries out an action, timers apart
+	perform   func(router int, action Action) // carries out an action other than SetTimer
 }
 
 func newSimulation(t *testing.T, seed int64, settings Settings, span Time) simulation {
@@ -45,7 +45,7 @@
 // after schedules an event relative to now.
 func (s *simulation) after(span Time, run func()) { s.at(s.now+span, run) }
 
-// run plays all events until the end.
+// run handles all events before the end.
 func (s *simulation) run() {
 	for len(s.queue) > 0 {
 		event := heap.Pop(&s.queue).(simulatedEvent)
@@ -54,7 +54,7 @@
 	}
 }
 
-// startRouter starts a router anew with the given endpoints.
+// startRouter starts or restarts a router with the given endpoints.
 func (s *simulation) startRouter(router int, endpoints []Endpoint) {
 	engine, err := New(s.settings, s.rng.Uint64())
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// randomRouter draws the router of a request. Some routers get several times the mean.
+// randomRouter draws the router of a request. The first tenth of the routers gets several times the mean.
 func (s *simulation) randomRouter() int {
 	router := s.rng.Intn(len(s.engines))
 	if s.rng.Intn(3) == 0 {
@@ -99,8 +99,8 @@
 	return &AttemptDone{ID: send.ID, Attempt: attempt, Load: noLoadReport}
 }
 
-// finishAfter ends an attempt after a time, unless its router has restarted by then. It calls served first if the
-// attempt was served and nothing else has answered the request.
+// finishAfter ends an attempt after a time, unless its router has restarted by then. It calls served first if
+// the attempt was served and nothing else has answered the request.
 func (s *simulation) finishAfter(span Time, router int, done *AttemptDone, served func()) {
 	engine := s.engines[router]
 	s.after(span, func() {
@@ -119,7 +119,8 @@
 	return s.engines[router].caches[endpoint.ID].StartedAt == endpoint.StartedAt
 }
 
-// simulatedCapacity is how many requests a second a cache can do.
+// simulatedCapacity returns the requests per second that a cache can serve. It grows linearly during the
+// warm-up.
 func simulatedCapacity(endpoint Endpoint, settings *Settings, now Time) float64 {
 	full := simulatedRate * endpoint.Weight
 	if endpoint.StartedAt == 0 {
@@ -129,14 +130,14 @@
 	return full * min(1, settings.WarmupStartShare+(1-settings.WarmupStartShare)*age)
 }
 
-// simulatedEvent is something that happens in a simulation.
+// simulatedEvent is an event of a simulation, at a given time.
 type simulatedEvent struct {
 	at       Time
-	sequence int // equal times keep their order
+	sequence int // events with equal times run in the order in which they were scheduled
 	run      func()
 }
 
-// eventQueue is a heap of events by time.
+// eventQueue is a heap of events by time and sequence.
 type eventQueue []simulatedEvent
 
 func (q eventQueue) Len() int { return len(q) }
--- a/policy/slow_cache_test.go
+++ b/policy/slow_cache_test.go
@@ -10,11 +10,11 @@
 	slowCacheCores    = 4
 	slowCacheKeys     = 64
 	slowCacheDuration = 30_000 * ms
-	slowCacheInterval = 15 * ms // between two requests
+	slowCacheInterval = 15 * ms // time between two requests
 )
 
-// slowCacheSimulation is one router in front of one overloaded cache, whose hits take serviceTime, or longer where they
-// share a core.
+// slowCacheSimulation simulates one router in front of one overloaded cache. Its hits take about serviceTime,
+// or longer if more of them are in flight than it has cores.
 type slowCacheSimulation struct {
 	harness     *engineHarness
 	rng         *rand.Rand
@@ -22,7 +22,7 @@
 	serviceTime Time
 	pending     []slowAttempt
 	served      int
-	onTime      int // served within the latency objective
+	onTime      int // requests served within the latency objective
 }
 
 // slowAttempt is an attempt in flight at a slowCache.
@@ -33,27 +33,27 @@
 	doneAt  Time
 }
 
-// Hits that take more than half of the latency objective without any load must not count as overload, or the
-// cache's limit would fall until it does next to nothing.
+// Hits that take more than half of the latency objective without any load must not count as overload.
+// Otherwise the cache's limit would fall until it served almost nothing.
 func TestSlowHitsDoNotCountAsOverload(t *testing.T) {
 	for _, serviceTime := range []Time{40 * ms, 75 * ms, 110 * ms, 130 * ms} {
 		rate, onTime := simulateSlowCache(t, serviceTime)
 		capacity := min(slowCacheCores/(1.05*float64(serviceTime)/1e6), 1e6/slowCacheInterval)
-		t.Logf("%d ms a hit: %.1f a second in the latency objective, of %.1f that it can do; %.2f of the replies",
+		t.Logf("%d ms per hit: %.1f per second within the latency objective, capacity %.1f; %.2f of the replies",
 			serviceTime/ms, rate, capacity, onTime)
 		if rate < .6*capacity {
-			t.Errorf("%d ms a hit: %.1f a second in the latency objective, of %.1f that it can do",
+			t.Errorf("%d ms per hit: %.1f per second within the latency objective, capacity %.1f",
 				serviceTime/ms, rate, capacity)
 		}
 		if onTime < .75 {
-			t.Errorf("%d ms a hit: %.2f of the replies came in the latency objective: it is overloaded",
+			t.Errorf("%d ms per hit: %.2f of the replies came within the latency objective, so the cache is overloaded",
 				serviceTime/ms, onTime)
 		}
 	}
 }
 
-// simulateSlowCache plays slowCacheDuration and returns the hits a second within the latency objective, and their share of
-// all replies.
+// simulateSlowCache runs the simulation for slowCacheDuration. It returns the hits per second within the
+// latency objective, and their share of all replies.
 func simulateSlowCache(t *testing.T, serviceTime Time) (rate, onTime float64) {
 	h := newTrafficHarness(t, 1, nil)
 	s := &slowCacheSimulation{harness: h, rng: rand.New(rand.NewSource(1)), cache: h.engine.caches["c00"], serviceTime: serviceTime}
@@ -73,7 +73,7 @@
 	return float64(s.onTime) / (slowCacheDuration / 1e6), float64(s.onTime) / float64(s.served)
 }
 
-// startAttempts starts the attempts that the engine sent.
+// startAttempts starts the attempts of the Send actions among actions.
 func (s *slowCacheSimulation) startAttempts(actions []Action) {
 	h := s.harness
 	for _, send := range sendActions(actions) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// finishDueAttempts ends the attempts that are done by now, which may start others.
+// finishDueAttempts ends the attempts that are done by now. The engine may send others as a result.
 func (s *slowCacheSimulation) finishDueAttempts() {
 	h := s.harness
 	objective := h.engine.classes["read"].LatencyObjective
--- a/policy/slowstart_faults_test.go
+++ b/policy/slowstart_faults_test.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	simulatedCores       = 2        // of each cache
-	maxSimulatedQueue    = 8        // requests that wait at a cache
-	simulatedTries       = 4        // of a client for one request
-	simulatedRetryDelay  = 100 * ms // between two tries of a client
+	simulatedCores       = 2        // cores of each cache
+	maxSimulatedQueue    = 8        // longest queue of a cache, in requests
+	simulatedTries       = 4        // tries of a client for one request
+	simulatedRetryDelay  = 100 * ms // time between two tries of a client
 	simulatedRequestTime = 800 * ms // timeout of one try
 )
 
-// Each of many routers sends little to a cache that is warming up, and all of it together must not overload it,
-// whatever else goes wrong.
+// Each of many routers sends few requests to a cache that is warming up. The sum of them must not overload
+// the cache, whatever other faults occur.
 func TestFleetKeepsWarmingUpCachesWithinBudget(t *testing.T) {
 	for _, fleet := range []struct {
-		routers, caches int // 0 caches: as the scenario has it
-		span            Time
+		routers, caches int // 0 caches: largeCaches of the scenario
+		duration        Time
 	}{
 		{1, 12, 5000 * ms}, {2, 12, 10500 * ms}, {3, 12, 5000 * ms}, {5, 12, 5000 * ms}, {8, 12, 10500 * ms}, {20, 14, 10500 * ms}, {30, 20, 10500 * ms}, {80, 54, 5000 * ms},
 		{300, 0, 2500 * ms},
 	} {
 		for _, scenario := range faultScenarios {
-			scenario.routers, scenario.caches, scenario.duration = fleet.routers, fleet.caches, fleet.span
+			scenario.routers, scenario.caches, scenario.duration = fleet.routers, fleet.caches, fleet.duration
 			if fleet.caches == 0 {
 				scenario.caches = scenario.largeCaches
 			}
@@ -52,19 +52,19 @@
 		fairShare += cache.fairShare
 		work, budget := cache.worstWindow(&sim.settings)
 		if work > budget {
-			t.Errorf("%s of weight %v got %.1f in %v us, more than %.1f",
+			t.Errorf("%s of weight %v got %.1f requests of mean work within %v us, more than %.1f",
 				cache.ID, cache.Weight, work, sim.settings.OverloadTime, budget)
 		}
 		if budget > 0 && (worstBudget == 0 || work*worstBudget > worst*budget) {
 			worst, worstBudget = work, budget
 		}
 	}
-	t.Logf("%d, %s: worst window %.1f of %.1f (%.2f), starting caches got %.2f of their share, served %.2f",
+	t.Logf("%d, %s: worst window %.1f of a budget of %.1f (%.2f), starting caches got %.2f of their share, served %.2f of the requests",
 		sim.scenario.routers, sim.scenario.name, worst, worstBudget, worst/worstBudget, received/fairShare,
 		float64(sim.served)/float64(sim.requests))
 }
 
-// faultSimulation plays a faultScenario.
+// faultSimulation runs a faultScenario.
 type faultSimulation struct {
 	simulation
 	scenario       faultScenario
@@ -73,20 +73,20 @@
 	keys           *rand.Zipf
 	hotKey         uint64
 	totalWeight    float64
-	weightBefore   float64 // of the caches listed before the starts
+	weightBefore   float64 // total weight of the caches listed before the starts
 	tries          map[int64]clientTry
 	lastRequestID  int64
 	failedAttempts int
 
 	started  []*multiCoreCache
-	requests int // of clients since the starts, retries not counted
-	served   int // since the starts
+	requests int // requests of clients since the starts, without retries
+	served   int // requests served since the starts
 }
 
-// clientTry is what a client does again if the router does not answer it.
+// clientTry is one try of a client, which repeats it if the router rejects or fails it.
 type clientTry struct {
 	key    uint64
-	number int // 0 for the first
+	number int // 0 for the first try
 }
 
 func newFaultSimulation(t *testing.T, scenario faultScenario) *faultSimulation {
@@ -129,8 +129,9 @@
 	return float64(cache.index%10) < 10*s.scenario.startingShare
 }
 
-// hasFault reports whether a cache is in a share of those that stay warm, and its fault has begun. The shares are
-// counted from the end of the list, where caches stay warm.
+// hasFault reports whether a fault that affects the given share of the caches has begun at this cache. Shares
+// are counted backwards by the last digit of the index, beginning at from, as the caches with the highest
+// digits stay warm.
 func (s *faultSimulation) hasFault(cache *multiCoreCache, from, share float64) bool {
 	position := (float64(9-cache.index%10) + .5) / 10
 	return s.now >= s.restartAt && !s.isStarting(cache) && position >= from && position < from+share
@@ -159,7 +160,7 @@
 	return endpoints
 }
 
-// listedEndpoint returns a cache as the endpoint list has it.
+// listedEndpoint returns the entry of a cache in the endpoint list.
 func (s *faultSimulation) listedEndpoint(cache *multiCoreCache) Endpoint {
 	endpoint := cache.Endpoint
 	if endpoint.StartedAt > 0 {
@@ -168,8 +169,8 @@
 	return endpoint
 }
 
-// findHotKey returns a key whose primary is the largest starting cache, and that routers send there from the first
-// moment on.
+// findHotKey returns a key whose primary is the largest starting cache, and which slow start admits there
+// from the start of the cache on.
 func (s *faultSimulation) findHotKey() uint64 {
 	var largest *multiCoreCache
 	for _, cache := range s.caches {
@@ -184,7 +185,7 @@
 	return key
 }
 
-// primaryOf returns the first choice for a key.
+// primaryOf returns the primary cache of a key.
 func (s *faultSimulation) primaryOf(key uint64) (primary *multiCoreCache) {
 	best := math.Inf(1)
 	for _, cache := range s.caches {
@@ -196,7 +197,7 @@
 	return primary
 }
 
-// startCaches starts caches and routers and schedules when the routers are notified.
+// startCaches starts caches, restarts routers and schedules the notification of the routers.
 func (s *faultSimulation) startCaches() {
 	for _, cache := range s.caches {
 		cache.arrivals = nil
@@ -217,13 +218,13 @@
 	}
 }
 
-// restartRouter starts a router that has forgotten what it sent, and schedules its next restart.
+// restartRouter restarts a router, which loses its state, and schedules its next restart.
 func (s *faultSimulation) restartRouter(router int) {
 	s.startRouter(router, s.currentEndpoints())
 	s.after(s.scenario.restartInterval, func() { s.restartRouter(router) })
 }
 
-// sendRequest plays a client's request and schedules the next.
+// sendRequest sends a client's request and schedules the next one.
 func (s *faultSimulation) sendRequest() {
 	if s.now >= s.restartAt {
 		s.requests++
@@ -238,7 +239,7 @@
 	s.after(Time(s.rng.ExpFloat64()*1e6/rate), s.sendRequest)
 }
 
-// requestRate is how many requests a second the clients send.
+// requestRate returns the current requests per second of the clients.
 func (s *faultSimulation) requestRate() float64 {
 	if s.now < s.restartAt {
 		return s.scenario.load * simulatedRate * s.weightBefore
@@ -250,7 +251,7 @@
 	return rate
 }
 
-// addFairShares adds each started cache's share of one request, by its present capacity.
+// addFairShares adds to the fair share of each started cache its share of one request, by its current capacity.
 func (s *faultSimulation) addFairShares() {
 	total := 0.
 	for _, cache := range s.caches {
@@ -269,7 +270,7 @@
 		Deadline: s.now + simulatedRequestTime})
 }
 
-// retry has the client of a request that was not served try again.
+// retry schedules the next try of a client whose request was not served, unless it has no tries left.
 func (s *faultSimulation) retry(id int64) {
 	try := s.tries[id]
 	try.number++
@@ -291,7 +292,7 @@
 	}
 }
 
-// performSend plays an attempt at a cache.
+// performSend simulates an attempt at a cache.
 func (s *faultSimulation) performSend(router int, send Send) {
 	cache := s.byID[send.Cache]
 	work := .5 + s.rng.Float64()
@@ -317,7 +318,7 @@
 	}
 }
 
-// finishAttempt ends an attempt after a time and counts what was served since the starts.
+// finishAttempt ends an attempt after a time and counts the requests served since the starts.
 func (s *faultSimulation) finishAttempt(span Time, router int, done *AttemptDone) {
 	s.finishAfter(span, router, done, func() {
 		if s.now > s.restartAt {
@@ -326,32 +327,31 @@
 	})
 }
 
-// multiCoreCache does one request on each of its cores at a time and queues a few others.
+// multiCoreCache serves one request at a time on each of its cores and queues a few others.
 type multiCoreCache struct {
 	Endpoint
 	index      int
-	coreIdleAt [simulatedCores]Time // when each core will have done what it accepted
-	arrivals   []arrival            // since the starts
-	fairShare  float64              // requests that were its share by its capacity at each time
+	coreIdleAt [simulatedCores]Time // when each core will have finished its queue
+	arrivals   []arrival            // attempts that arrived since the starts
+	fairShare  float64              // requests that would be its share by its capacity at the time of each
 }
 
-// arrival is work that reached a cache, whether it was done or rejected, from a router that had been notified of the
-// cache's start or not.
+// arrival is the work of an attempt that reached a cache, whether the cache served or rejected it.
 type arrival struct {
 	at       Time
 	work     float64 // in requests of mean work
-	notified bool
+	notified bool    // the router had been notified of the cache's start
 }
 
-// notifiedWork is the work that counts as sent by a router that knew better.
+// notifiedWork returns the work if a notified router sent it, and 0 if not.
 func (a arrival) notifiedWork() float64 { return float64(boolToInt(a.notified)) * a.work }
 
-// capacity is how many requests of mean work a second the cache can do.
+// capacity returns the requests of mean work per second that the cache can serve.
 func (c *multiCoreCache) capacity(settings *Settings, now Time) float64 {
 	return simulatedCapacity(c.Endpoint, settings, now)
 }
 
-// firstIdleCore returns the core that is idle first.
+// firstIdleCore returns the index of the core that will be idle first.
 func (c *multiCoreCache) firstIdleCore(now Time) int {
 	first := 0
 	for core := range c.coreIdleAt {
@@ -363,19 +363,20 @@
 	return first
 }
 
-// chanceMargin is how much of a number of requests beyond them is put down to chance.
+// chanceMargin returns by how much random variation may exceed a limit of this many requests.
 func chanceMargin(requests float64) float64 { return 2*math.Sqrt(requests) + 2 }
 
-// budget is the work that a cache may get in the window of OverloadTime that ends at end.
+// budget returns the work that a cache may get in the window of OverloadTime that ends at end.
 func (c *multiCoreCache) budget(settings *Settings, end Time) float64 {
 	middle := max(end-settings.OverloadTime/2, c.StartedAt)
 	limit := settings.OverloadMultiple * c.capacity(settings, middle) * float64(settings.OverloadTime) / 1e6
 	return limit + chanceMargin(limit)
 }
 
-// worstWindow returns the work and the budget of the window of OverloadTime in which the cache came closest to an
-// overload collapse. Only windows of which more than two thirds came from routers that had been notified count: the
-// others break no rule. What follows a collapse that others caused does not count either.
+// worstWindow returns the work and the budget of the window of OverloadTime in which the cache came closest
+// to an overload collapse. A window counts only if more than two thirds of its work came from notified
+// routers, as the others cannot know of the start. Windows after a collapse in a window that does not count
+// are left out too.
 func (c *multiCoreCache) worstWindow(settings *Settings) (worst, worstBudget float64) {
 	first, work, notified := 0, 0., 0.
 	for _, last := range c.arrivals {
@@ -386,7 +387,7 @@
 			notified -= c.arrivals[first].notifiedWork()
 		}
 		if last.at >= c.StartedAt+settings.WarmupTime {
-			break // it is warm
+			break // the cache is warm
 		}
 		budget := c.budget(settings, last.at)
 		counts := 3*notified > 2*work
@@ -394,31 +395,31 @@
 			worst, worstBudget = work, budget
 		}
 		if !counts && work > budget {
-			break // it has collapsed, and not by what notified routers sent
+			break // the cache collapsed because of routers that were not notified
 		}
 	}
 	return worst, worstBudget
 }
 
-// The check of TestFleetKeepsWarmingUpCachesWithinBudget must see what it is meant to see: windows that go over the
-// budget, and only those that count.
+// worstWindow must detect windows that exceed the budget, and leave out those that do not count. Otherwise
+// TestFleetKeepsWarmingUpCachesWithinBudget would pass or fail wrongly.
 func TestWorstWindowOfWarmingUpCache(t *testing.T) {
 	settings := slowStartSettings(1)
 	limit := settings.OverloadMultiple * simulatedRate * settings.WarmupStartShare * 1.5 // right after the start
 	budget := int(limit + chanceMargin(limit))
 	for _, test := range []struct {
 		name                string
-		count, unnotified   int // requests at once right after the start, the first ones from routers not notified
-		later               int // from notified routers a second later
+		count, unnotified   int // requests right after the start, and those of them from unnotified routers
+		later               int // requests from notified routers a second later
 		counted, overBudget bool
 	}{
-		{"within", budget, 0, 0, true, false},
-		{"one more", budget + 1, 0, 0, true, true},
-		{"nobody was notified", budget + 1, budget + 1, 0, false, false},
-		{"over a third was not notified", 41, 14, 0, false, false},
-		{"nearly a third was not notified", 41, 13, 0, true, true},
-		{"it had collapsed by then", 60, 60, 300, false, false},
-		{"both windows count as one", budget, 0, budget, true, true},
+		{"within the budget", budget, 0, 0, true, false},
+		{"one request beyond the budget", budget + 1, 0, 0, true, true},
+		{"no router was notified", budget + 1, budget + 1, 0, false, false},
+		{"over a third not notified", 41, 14, 0, false, false},
+		{"nearly a third not notified", 41, 13, 0, true, true},
+		{"after a collapse", 60, 60, 300, false, false},
+		{"two bursts within one window", budget, 0, budget, true, true},
 	} {
 		cache := multiCoreCache{Endpoint: Endpoint{Weight: 1, StartedAt: testStart}}
 		for i := range test.count {
--- a/policy/slowstart_restart_test.go
+++ b/policy/slowstart_restart_test.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	restartDuration       = 3500 * ms // that is looked at after the restart
-	maxSimulatedQueueTime = 300 * ms  // of work that a simulated cache queues
+	restartDuration       = 3500 * ms // simulated time after the restart
+	maxSimulatedQueueTime = 300 * ms  // longest queue of a simulated cache, as the time to serve it
 )
 
-// restartScenario is a stretch of service in which a part of the caches restarts at once. Caches and clients are
-// as simple as possible.
+// restartScenario describes a simulation in which a share of the caches restarts at the same time. Caches and
+// clients are as simple as possible.
 type restartScenario struct {
 	routers, caches  int
-	restartedCaches  float64 // share of the caches
-	restartedRouters float64 // share of the routers that restart with them
-	load             float64 // of what all caches can do when warm
-	notifyWithin     Time    // the routers learn of the restart one after the other
-	zipfExponent     float64 // of the keys
+	restartedCaches  float64 // share of the caches that restart
+	restartedRouters float64 // share of the routers that restart with the caches
+	load             float64 // request rate as a share of the capacity of all caches when warm
+	notifyWithin     Time    // time within which all other routers are notified of the restart
+	zipfExponent     float64 // exponent of the Zipf distribution of the keys
 }
 
-// restartSimulation plays a restartScenario.
+// restartSimulation runs a restartScenario.
 type restartSimulation struct {
 	simulation
 	scenario      restartScenario
 	caches        map[string]*queueingCache
 	endpoints     []Endpoint
 	keys          *rand.Zipf
-	meanInterval  float64 // between two requests
+	meanInterval  float64 // mean time between two requests, in microseconds
 	lastRequestID int64
 
 	restarted []*queueingCache
-	requests  int // since the restart
-	served    int // of them
+	requests  int // requests since the restart
+	served    int // those of them that were served
 }
 
-// queueingCache does one request at a time and queues others up to a limit.
+// queueingCache serves one request at a time and queues others, up to maxSimulatedQueueTime.
 type queueingCache struct {
 	Endpoint
-	idleAt Time // when it will have done what it accepted
+	idleAt Time // when it will have finished its queue
 	sends  []notifiedSend
 	served int
 }
 
-// notifiedSend is an attempt at a cache, by a router that had been notified of its start or not.
+// notifiedSend is an attempt at a cache.
 type notifiedSend struct {
 	at       Time
-	notified bool
+	notified bool // the router had been notified of the cache's start
 }
 
-// Each of many routers sends little to a cache that is warming up, and all of it together must not overload it.
+// Each of many routers sends few requests to a cache that is warming up. The sum of them must not overload
+// the cache.
 func TestFleetDoesNotOverloadWarmingUpCaches(t *testing.T) {
 	for _, scenario := range []restartScenario{
 		{routers: 300, caches: 200, restartedCaches: .6, load: .4, zipfExponent: 1.1},
@@ -72,16 +73,16 @@
 			served, capacity := 0., 0.
 			for _, cache := range sim.restarted {
 				if worst, budget := cache.worstWindow(&sim.settings); worst > budget {
-					t.Errorf("%s of weight %v was sent %.0f in %v us, more than %.0f",
+					t.Errorf("%s of weight %v was sent %.0f requests within %v us, more than %.0f",
 						cache.ID, cache.Weight, worst, sim.settings.OverloadTime, budget)
 				}
 				served += float64(cache.served)
 				capacity += cache.capacity(&sim.settings, cache.StartedAt+restartDuration/2) * restartDuration / 1e6
 			}
-			t.Logf("restarted caches did %.2f of what they could; %d of %d requests were served",
+			t.Logf("restarted caches served %.2f of their capacity; %d of %d requests were served",
 				served/capacity, sim.served, sim.requests)
 			if served < capacity*scenario.load/8 {
-				t.Errorf("restarted caches did %.2f of what they could at a load of %v", served/capacity, scenario.load)
+				t.Errorf("restarted caches served %.2f of their capacity at a load of %v", served/capacity, scenario.load)
 			}
 		})
 	}
@@ -112,7 +113,7 @@
 	return s
 }
 
-// sendRequest plays a request and schedules the next.
+// sendRequest sends a request and schedules the next one.
 func (s *restartSimulation) sendRequest() {
 	s.lastRequestID++
 	if s.now > s.restartAt {
@@ -124,7 +125,7 @@
 	s.after(Time(s.rng.ExpFloat64()*s.meanInterval), s.sendRequest)
 }
 
-// restart starts caches and routers anew and schedules when the other routers are notified.
+// restart restarts caches and routers and schedules the notification of the other routers.
 func (s *restartSimulation) restart() {
 	for i := range s.endpoints {
 		if float64(i%10) >= 10*s.scenario.restartedCaches {
@@ -146,7 +147,7 @@
 	}
 }
 
-// performAction plays an attempt; other actions have no effect here.
+// performAction simulates an attempt; other actions have no effect here.
 func (s *restartSimulation) performAction(router int, action Action) {
 	send, ok := action.(Send)
 	if !ok {
@@ -175,9 +176,10 @@
 	return simulatedCapacity(c.Endpoint, settings, now)
 }
 
-// worstWindow returns the number of sends in the window of OverloadTime in which most was sent to the cache,
-// relative to what it may be sent then: a multiple of its capacity, and a margin for chance. Windows in which more
-// than a third came from routers that could not know of its start do not count.
+// worstWindow returns the number of sends and the budget of the window of OverloadTime in which the sends to
+// the cache were the largest share of its budget. The budget is OverloadMultiple times the capacity, and a
+// margin for random variation. Windows in which more than a third of the sends came from routers that were
+// not notified do not count.
 func (c *queueingCache) worstWindow(settings *Settings) (worst, budget float64) {
 	first, notified := 0, 0
 	for i, send := range c.sends {
--- a/policy/slowstart_scenarios_test.go
+++ b/policy/slowstart_scenarios_test.go
@@ -1,29 +1,30 @@
 package policy
 
-// faultScenario is a stretch of service in which caches start while something else goes wrong. Caches, clients and
-// discovery are as simple as possible.
+// faultScenario describes a simulation in which caches start while other faults or changes occur. If a
+// field is zero, its fault does not occur, unless a default is stated. Caches, clients and discovery are as
+// simple as possible.
 type faultScenario struct {
 	name                       string
 	routers, caches            int
-	load                       float64 // of what all caches can do when warm
-	startingShare              float64 // share of the caches that start at once
-	overloadMultiple           float64 // of its present capacity that tips a cache over while it warms up; 3 where 0
-	newlyListed                bool    // the starting caches were not listed before
-	notifyWithin               Time    // the routers learn of the starts one after the other
-	restartedRouters           float64 // share of the routers that restart with them, with the endpoints from before
-	restartInterval            Time    // at which each router restarts from then on, with the endpoints as they are; 0 for never
-	startShare                 float64 // of the capacity of a warm cache that one has at its start; as in slowStartSettings where 0
-	listedStartError           Time    // by how much the list dates the starts too early; internal/router allows for 500 ms
-	hotShare                   float64 // share of all requests that are for one key, whose primary is starting
-	hotAfter                   Time    // after the starts, before which nothing asks for that key
-	hangingShare, failingShare float64 // shares of the caches that are warm, and answer nothing or fail from then on
-	burstFactor                float64 // times the load, a second after the starts; 1 where 0
-	duration                   Time    // that is looked at after the starts
+	load                       float64 // request rate as a share of the capacity of all caches when warm
+	startingShare              float64 // share of the caches that start, all at the same time
+	overloadMultiple           float64 // multiple of its capacity at which a cache collapses; default 3
+	newlyListed                bool    // the starting caches were not listed before their start
+	notifyWithin               Time    // time within which all routers are notified of the starts
+	restartedRouters           float64 // share of the routers that restart too, with the endpoints from before
+	restartInterval            Time    // time between restarts of each router, with the current endpoints
+	startShare                 float64 // WarmupStartShare; default as in slowStartSettings
+	listedStartError           Time    // how much too early starts are listed; internal/router tolerates 500 ms
+	hotShare                   float64 // share of all requests for one key, whose primary is a starting cache
+	hotAfter                   Time    // time after the starts when requests for that key begin; 0: always
+	hangingShare, failingShare float64 // shares of the caches, all of them warm, that hang or fail from then on
+	burstFactor                float64 // factor of the request rate from 1 s after the starts on; default 1
+	duration                   Time    // simulated time after the starts
 	seed                       int64
-	largeCaches                int // caches in the scenario of the largest fleet; 0 where it is not played there
+	largeCaches                int // caches in the largest fleet; 0 leaves the scenario out there
 }
 
-// faultScenarios are the scenarios that each fleet is tested with.
+// faultScenarios are the scenarios that fleets of all sizes are tested with, unless largeCaches leaves one out.
 var faultScenarios = []faultScenario{
 	{name: "a tenth starts", load: .8, startingShare: .1},
 	{name: "half start", load: .5, startingShare: .5, largeCaches: 200},
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A cache that is warming up must not get its full share at once: its share of the keys grows with time.
+// A cache that is warming up cannot handle its full share of the requests. Its share of the keys must grow
+// with time.
 func TestWarmupShareGrows(t *testing.T) {
 	h := newEngineHarness(t, testSettings())
 	endpoints := testEndpoints(4)
@@ -32,13 +33,14 @@
 	}
 }
 
-// The keys that a cache may take while warming up can still add up to more than its share of the requests.
+// Slow start admits a part of the keys of a cache that is warming up. If these have more requests than
+// others, the cache must still get no more than its share.
 func TestWarmingUpCacheGetsItsShareAtMost(t *testing.T) {
 	h := newTrafficHarness(t, 5, nil)
 	endpoints := testEndpoints(5)
 	endpoints[3].StartedAt = h.now
 	h.handle(&EndpointsUpdate{Kind: UpdateSnapshot, Endpoints: endpoints})
-	admitted := func(key uint64) bool { // by the slow start of its primary, which is c03
+	admitted := func(key uint64) bool { // reports whether slow start admits the key at c03, which is its primary
 		return primaryOf(h.engine, key) == "c03" && unitInterval(mix(mix(key)+1)) < h.engine.settings.WarmupStartShare
 	}
 	sent, key := 0, uint64(0)
@@ -59,7 +61,7 @@
 	}
 }
 
-// During faults most attempts are retries and requests for hot keys, which would overload caches that are warming up.
+// During faults most attempts are retries or for hot keys. These would overload caches that are warming up.
 func TestWarmingUpCacheGetsNoRetriesOrHotKeys(t *testing.T) {
 	h := newTrafficHarness(t, 5, nil)
 	endpoints := testEndpoints(5)
@@ -85,20 +87,20 @@
 	}
 }
 
-// Routers agree in part on which requests for a key go to a cache that is warming up. Otherwise some would keep all
-// requests for a repeated key off it and others none, and the key would be fetched at two places.
+// Routers agree in part on which requests for a key go to a cache that is warming up. Otherwise some would
+// send all requests for a repeated key to it and others none, and two caches would fetch the key.
 func TestWarmingUpCacheGetsItsShareOfKey(t *testing.T) {
 	const routers = 300
 	for _, test := range []struct {
-		seen      int // requests of 600 that were for the key
-		low, high int // routers that send the next one to the cache that is warming up
+		seen      int // requests for the key among 600
+		low, high int // bounds of the number of routers that send the next one to the cache that is warming up
 	}{{1, routers, routers}, {2, routers / 3, routers * 6 / 10}, {6, routers / 10, routers / 5}, {60, 0, routers / 20}} {
 		sent := 0
 		for router := range routers {
 			engine := newWarmingUpHarness(t, routers, router).engine
 			key := uint64(1)
 			for unitInterval(mix(mix(key)+1)) >= engine.settings.WarmupStartShare {
-				key++ // of those that any cache that is warming up may have
+				key++ // until slow start admits the key at any time of the warm-up
 			}
 			engine.requestCounts[0], engine.keyCounts[0][key] = 600, test.seen
 			req := &request{Request: &Request{Key: key, Deadline: 2e9}, class: &Class{}}
@@ -111,14 +113,14 @@
 	}
 }
 
-// An announced start that is in the future, repeated or late must neither keep a warm cache from its keys nor give
-// one that is warming up too many.
+// The listed start of a cache may be in the future, or be listed repeatedly or late. In neither case may a
+// warm cache lose its keys or a cache that is warming up get too many.
 func TestWarmupFollowsAnnouncedStarts(t *testing.T) {
-	const announced = 1000 * ms // since the start of the clock of the test
+	const announced = 1000 * ms // time of the first update, from the start of the clock
 	for _, test := range []struct {
 		name   string
-		starts []Time // one a second, beginning at announced
-		warmAt Time   // 0 where it is warm at the end
+		starts []Time // start in each update, one update per second, from announced on
+		warmAt Time   // end of the warm-up; 0 if the cache is warm at the end of the test
 	}{
 		{"in the future", []Time{announced + 60000*ms}, announced + 10000*ms},
 		{
@@ -128,9 +130,9 @@
 		},
 		{"repeated", []Time{announced, announced, announced, announced}, announced + 10000*ms},
 		{"late", []Time{announced - 4000*ms}, announced + 6000*ms},
-		{"when it is warm", []Time{announced - 11000*ms}, 0},
-		{"an older one after it", []Time{announced, announced - 8000*ms}, announced + 10000*ms},
-		{"a second one", []Time{announced, announced + 1000*ms}, announced + 11000*ms},
+		{"late, when it is warm", []Time{announced - 11000*ms}, 0},
+		{"then an older one", []Time{announced, announced - 8000*ms}, announced + 10000*ms},
+		{"then a newer one", []Time{announced, announced + 1000*ms}, announced + 11000*ms},
 	} {
 		h := newTrafficHarness(t, 3, nil)
 		endpoints, clockStart := testEndpoints(3), h.now
@@ -142,27 +144,28 @@
 		}
 		c := h.engine.caches["c01"]
 		if got := c.warmAt - clockStart; got != test.warmAt && (test.warmAt > 0 || c.warmAt > h.now) {
-			t.Errorf("%s: warming up until %d ms, not %d", test.name, got/ms, test.warmAt/ms)
+			t.Errorf("start %s: warm-up ends at %d ms, want %d", test.name, got/ms, test.warmAt/ms)
 		}
 	}
 }
 
-// In overload each router sees more requests than can be done, so a cache that is warming up must get its share of
-// what can be done and not of what is requested.
+// In overload each router gets more requests than the caches can serve. A cache that is warming up must get
+// its share of the requests that can be served, not of all requests.
 func TestWarmingUpCacheGetsLessInOverload(t *testing.T) {
 	for _, seen := range []int{1, 6} {
 		normal, overload := countWarmingUpSends(t, Served, seen), countWarmingUpSends(t, Rejected, seen)
 		if overload > normal/2 || overload < normal/5 {
-			t.Errorf("keys seen %d times: sent %d times when warm caches serve a quarter, %d when all", seen, overload, normal)
+			t.Errorf("keys seen %d times: sent %d times when warm caches serve a quarter, %d when they serve all", seen, overload, normal)
 		}
 	}
 	if normal, lost := countWarmingUpSends(t, Served, 1), countWarmingUpSends(t, ConnectionLost, 1); lost != normal {
-		t.Errorf("sent %d times when connections broke, %d when not", lost, normal)
+		t.Errorf("sent %d times when connections were lost, %d when not", lost, normal)
 	}
 }
 
-// countWarmingUpSends counts how often routers would send keys to a cache that is warming up, after three of four
-// attempts at warm caches ended with result. Each key was seen so many times among 600 requests.
+// countWarmingUpSends counts how often routers would send keys to a cache that is warming up, after three of
+// four attempts at warm caches ended with result. Each key was seen the given number of times among 600
+// requests.
 func countWarmingUpSends(t *testing.T, result Result, seen int) (sent int) {
 	t.Helper()
 	const routers, keys = 300, 20
@@ -178,7 +181,7 @@
 		}
 		engine.now = testStart + 5000*ms
 		for counted := 0; counted < keys; req.Key++ {
-			// A repeated key counts only if the cache gets it whatever its warmup fraction.
+			// A repeated key counts only if slow start admits it at any time of the warm-up.
 			if seen > 1 && unitInterval(mix(mix(req.Key)+1)) >= .2 {
 				continue
 			}
@@ -200,7 +203,7 @@
 	return h
 }
 
-// slowStartSettings returns the settings of fleets whose caches start, without health checks.
+// slowStartSettings returns settings for tests of slow start in fleets, without health checks.
 func slowStartSettings(routers int) Settings {
 	s := testSettings()
 	s.Routers, s.HealthChecksAllowed, s.OverloadMultiple = routers, false, 3
@@ -208,7 +211,8 @@
 	return s
 }
 
-// Attempts that warm caches reject are no work that a cache which is warming up may have a share of.
+// Attempts that warm caches reject must not count as their load, or caches that are warming up would get a
+// share of them.
 func TestRejectionsDoNotRaiseWarmingUpShare(t *testing.T) {
 	count := func(rejected int) (admitted int) {
 		h := newTrafficHarness(t, 2, nil)
@@ -237,7 +241,7 @@
 		}
 		return admitted
 	}
-	if calm, overload := count(0), count(200); calm == 0 || overload > calm {
-		t.Errorf("%d attempts are admitted, %d with rejections at the warm cache", calm, overload)
+	if normal, overload := count(0), count(200); normal == 0 || overload > normal {
+		t.Errorf("%d attempts are admitted without rejections by the warm cache, %d with rejections", normal, overload)
 	}
 }
