--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -20,7 +20,7 @@
 
 const (
 	goldenPath       = "testdata/actions.golden"
-	goldenBlocks     = 6   // parallel subtests, each with a digest of its own
+	goldenBlocks     = 6   // parallel subtests, each with its own digest
 	goldenTimelines  = 500 // timelines of one block
 	millisecond      = policy.Time(1_000)
 	second           = 1_000 * millisecond
@@ -28,21 +28,20 @@
 	goldenDrainAfter = 3 * second // events go on for this long after the last request
 )
 
-// goldenRouterCounts are the fleet sizes that the policy is played at.
+// goldenRouterCounts are the numbers of routers that timelines are run with.
 var goldenRouterCounts = [...]int{2, 20, 300, 2_800}
 
-// TestActionsMatchGolden plays random but legal timelines and compares a digest of every action
-// with the one in testdata. The engine is deterministic, so a change that claims to keep its
-// behaviour must keep these digests; run with -update only for a change that means to alter it.
-// Log actions are left out. The file holds for amd64: other processors may fuse floating-point
-// operations.
+// TestActionsMatchGolden runs random timelines of valid events and compares a digest of all actions with the
+// one in testdata. The engine is deterministic, so a change that does not alter its behaviour keeps the
+// digests. Use -update only for a change that is meant to alter it. Log actions are left out of the digest.
+// The golden file is valid for amd64: other processors may fuse floating-point operations.
 func TestActionsMatchGolden(t *testing.T) {
 	lines := make([]string, goldenBlocks)
 	t.Run("blocks", func(t *testing.T) {
 		for block := range goldenBlocks {
 			t.Run(fmt.Sprint(block), func(t *testing.T) {
 				t.Parallel()
-				lines[block] = playGoldenBlock(t, block)
+				lines[block] = runGoldenBlock(t, block)
 			})
 		}
 	})
@@ -64,8 +63,8 @@
 	}
 }
 
-// playGoldenBlock plays the timelines of one block and returns its line of the golden file.
-func playGoldenBlock(t *testing.T, block int) string {
+// runGoldenBlock runs the timelines of one block and returns its line of the golden file.
+func runGoldenBlock(t *testing.T, block int) string {
 	t.Helper()
 	digest := sha256.New()
 	totals := goldenTotals{}
@@ -75,13 +74,13 @@
 		if err != nil {
 			t.Fatalf("timeline %d: %v", seed, err)
 		}
-		timeline.play()
+		timeline.run()
 		totals.add(timeline.totals)
 	}
 	return fmt.Sprintf("block=%d %s sha256=%x\n", block, totals, digest.Sum(nil))
 }
 
-// goldenTotals counts what happened, so that a reader of the golden file sees what it covers.
+// goldenTotals counts actions and events, so that the golden file shows what the timelines cover.
 type goldenTotals struct {
 	requests, sends, rejects, fails, cancels, checks, closes, watches, misses, hedges int
 }
@@ -115,46 +114,46 @@
 	sequence int
 	totals   goldenTotals
 
-	caches       []*goldenCache
-	byID         map[string]*goldenCache
-	requests     map[int64]*goldenRequest
-	keys         *rand.Zipf
-	service      float64 // mean time of a hit, in microseconds
-	missTime     float64 // mean time that the origin adds, in microseconds
-	originDown   bool
-	rate         float64 // requests a second
-	left         int     // requests still to come
-	hotKey       uint64
-	hotShare     float64
-	watching     bool
-	discoveryOff bool
-	faultGap     float64 // mean seconds between faults
-	restartable  bool
-	overloaded   bool // other routers overload the cache servers, as live weights show
+	caches            []*goldenCache
+	byID              map[string]*goldenCache
+	requests          map[int64]*goldenRequest
+	keys              *rand.Zipf
+	meanHitTime       float64 // mean time of a hit, in microseconds
+	meanOriginTime    float64 // mean time that the origin adds, in microseconds
+	originDown        bool
+	rate              float64 // requests per second
+	requestsLeft      int     // requests still to come
+	hotKey            uint64
+	hotShare          float64
+	watching          bool
+	discoveryDown     bool
+	meanFaultInterval float64 // mean seconds between faults
+	restartable       bool
+	overloaded        bool // other routers overload the cache servers, which lowers live weights
 }
 
-// newGoldenTimeline draws a timeline from a seed; its actions go to the digest.
+// newGoldenTimeline returns a timeline with random parameters drawn from seed. Its actions are added to digest.
 func newGoldenTimeline(seed uint64, digest hash.Hash) (*goldenTimeline, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x60_1d_e2))
 	timeline := &goldenTimeline{
 		rng: rng, digest: digest, now: goldenStart, byID: map[string]*goldenCache{},
-		requests: map[int64]*goldenRequest{},
-		settings: goldenSettings(rng, goldenRouterCounts[seed%uint64(len(goldenRouterCounts))]),
-		keys:     rand.NewZipf(rng, 1.05+rng.Float64(), 1+9*rng.Float64(), uint64(1+rng.IntN(2_000))),
-		service:  math.Exp(rng.Float64()*4) * float64(2*millisecond),
-		missTime: math.Exp(rng.Float64()*3) * float64(10*millisecond),
-		rate:     math.Exp(1 + rng.Float64()*4.5),
-		left:     60 + rng.IntN(300),
-		hotKey:   rng.Uint64(),
+		requests:       map[int64]*goldenRequest{},
+		settings:       goldenSettings(rng, goldenRouterCounts[seed%uint64(len(goldenRouterCounts))]),
+		keys:           rand.NewZipf(rng, 1.05+rng.Float64(), 1+9*rng.Float64(), uint64(1+rng.IntN(2_000))),
+		meanHitTime:    math.Exp(rng.Float64()*4) * float64(2*millisecond),
+		meanOriginTime: math.Exp(rng.Float64()*3) * float64(10*millisecond),
+		rate:           math.Exp(1 + rng.Float64()*4.5),
+		requestsLeft:   60 + rng.IntN(300),
+		hotKey:         rng.Uint64(),
 	}
 	if rng.IntN(3) == 0 {
 		timeline.hotShare = 0.4 * rng.Float64()
 	}
-	if rng.IntN(10) == 0 { // health checks that this router's requests hardly earn
-		timeline.settings.HealthCheckCost, timeline.rate, timeline.left = 1, 3, 400
+	if rng.IntN(10) == 0 { // the requests of this router pay for few health checks
+		timeline.settings.HealthCheckCost, timeline.rate, timeline.requestsLeft = 1, 3, 400
 	}
 	timeline.overloaded = rng.IntN(4) == 0
-	timeline.faultGap = math.Exp(rng.Float64()*4 - 2)
+	timeline.meanFaultInterval = math.Exp(rng.Float64()*4 - 2)
 	timeline.restartable = rng.IntN(2) == 0
 	engine, err := policy.New(timeline.settings, rng.Uint64())
 	if err != nil {
@@ -169,7 +168,7 @@
 
 // goldenSettings draws settings for a fleet of routers.
 func goldenSettings(rng *rand.Rand, routers int) policy.Settings {
-	likely := func(n int) bool { return rng.IntN(n) > 0 }
+	likely := func(n int) bool { return rng.IntN(n) > 0 } // true with probability 1-1/n
 	objective := policy.Time(50+rng.IntN(800)) * millisecond
 	timeout := objective + policy.Time(rng.IntN(2_000))*millisecond
 	class := func(name string, effect policy.Effect, scope policy.DedupScope) policy.Class {
@@ -207,41 +206,41 @@
 	heap.Push(&t.queue, goldenEvent{max(when, t.now), t.sequence, run})
 }
 
-// after schedules an event; span is in microseconds.
+// after schedules an event relative to now; span is in microseconds.
 func (t *goldenTimeline) after(span float64, run func()) { t.at(t.now+policy.Time(span), run) }
 
-// play runs the timeline until goldenDrainAfter after the last request.
-func (t *goldenTimeline) play() {
-	t.handle(&policy.EndpointsUpdate{Kind: policy.UpdateStale, Endpoints: t.endpoints()})
+// run runs the timeline until goldenDrainAfter after the last request.
+func (t *goldenTimeline) run() {
+	t.handle(&policy.EndpointsUpdate{Kind: policy.UpdateStale, Endpoints: t.listedEndpoints()})
 	if !t.settings.WatchRequired {
 		t.watching = true
-		t.after(float64(millisecond), func() { t.deliver(policy.UpdateSnapshot, t.endpoints()) })
+		t.after(float64(millisecond), func() { t.deliver(policy.UpdateSnapshot, t.listedEndpoints()) })
 	}
 	t.after(0, t.arrive)
-	t.after(t.rng.ExpFloat64()*t.faultGap*float64(second), t.playFault)
+	t.after(t.rng.ExpFloat64()*t.meanFaultInterval*float64(second), t.injectFault)
 	if t.settings.LiveWeights {
-		t.after(float64(second), t.renewWeights)
+		t.after(float64(second), t.updateWeights)
 	}
 	end := policy.Time(math.MaxInt64)
 	for len(t.queue) > 0 && t.queue[0].at < end {
 		event := heap.Pop(&t.queue).(goldenEvent)
 		t.now = event.at
 		event.run()
-		if t.left == 0 && end == math.MaxInt64 {
+		if t.requestsLeft == 0 && end == math.MaxInt64 {
 			end = t.now + goldenDrainAfter
 		}
 	}
 }
 
-// handle gives the engine an event, adds its actions to the digest and carries them out.
+// handle gives the engine an event and carries out the resulting actions, which it adds to the digest.
 func (t *goldenTimeline) handle(event policy.Event) {
 	for _, action := range t.engine.Handle(t.now, event) {
 		t.perform(action)
 	}
 }
 
-// note adds a line to the digest.
-func (t *goldenTimeline) note(format string, arguments ...any) {
+// record adds a line to the digest.
+func (t *goldenTimeline) record(format string, arguments ...any) {
 	line := fmt.Sprintf("%d ", t.now) + fmt.Sprintf(format, arguments...) + "\n"
 	t.digest.Write([]byte(line))
 }
@@ -250,45 +249,45 @@
 func (t *goldenTimeline) perform(action policy.Action) {
 	switch a := action.(type) {
 	case policy.Send:
-		t.note("send %d %s %d %d", a.ID, a.Cache, a.Deadline, a.StartBefore)
-		t.send(a)
+		t.record("send %d %s %d %d", a.ID, a.Cache, a.Deadline, a.StartBefore)
+		t.startAttempt(a)
 	case policy.Cancel:
-		t.note("cancel %d %d", a.ID, a.Attempt)
+		t.record("cancel %d %d", a.ID, a.Attempt)
 		t.totals.cancels++
 		if request := t.requests[a.ID]; request != nil {
-			t.after(100, func() { t.end(request, a.Attempt, policy.Cancelled, false) })
+			t.after(100, func() { t.finishAttempt(request, a.Attempt, policy.Cancelled, false) })
 		}
 	case policy.Reject:
-		t.note("reject %d %d", a.ID, a.RetryAfter)
+		t.record("reject %d %d", a.ID, a.RetryAfter)
 		t.totals.rejects++
-		t.requests[a.ID].over = true
+		t.requests[a.ID].done = true
 	case policy.Fail:
-		t.note("fail %d", a.ID)
+		t.record("fail %d", a.ID)
 		t.totals.fails++
-		t.requests[a.ID].over = true
+		t.requests[a.ID].done = true
 	case policy.SetTimer:
-		t.note("timer %d %d", a.Token, a.At)
+		t.record("timer %d %d", a.Token, a.At)
 		t.at(a.At, func() { t.handle(&policy.TimerFired{Token: a.Token}) })
 	case policy.HealthCheck:
-		t.note("check %s", a.Cache)
+		t.record("check %s", a.Cache)
 		t.totals.checks++
-		t.check(t.byID[a.Cache])
+		t.checkHealth(t.byID[a.Cache])
 	case policy.CloseIdleConnections:
-		t.note("close %s", a.Cache)
+		t.record("close %s", a.Cache)
 		t.totals.closes++
 	case policy.Watch:
-		t.note("watch")
+		t.record("watch")
 		t.totals.watches++
 		t.watch()
 	case policy.Log:
 	default:
-		t.note("unknown %T", action)
+		t.record("unknown %T", action)
 	}
 }
 
 // arrive gives the engine a request and schedules the next one.
 func (t *goldenTimeline) arrive() {
-	t.left--
+	t.requestsLeft--
 	t.totals.requests++
 	class := t.settings.Classes[t.class()]
 	request := &goldenRequest{id: int64(t.totals.requests), key: t.keys.Uint64() * 0x9e3779b97f4a7c15,
@@ -316,18 +315,18 @@
 	t.handle(event)
 	if t.rng.IntN(30) == 0 {
 		t.after(t.rng.ExpFloat64()*float64(class.LatencyObjective), func() {
-			if !request.over {
-				request.over = true
+			if !request.done {
+				request.done = true
 				t.handle(&policy.ClientGone{ID: request.id})
 			}
 		})
 	}
-	if t.left > 0 {
+	if t.requestsLeft > 0 {
 		t.after(t.rng.ExpFloat64()*float64(second)/t.rate, t.arrive)
 	}
 }
 
-// class draws the index of a class; most requests are reads.
+// class draws the index of a class. Most draws are one of the two idempotent classes.
 func (t *goldenTimeline) class() int {
 	if t.rng.IntN(10) < 7 {
 		return t.rng.IntN(2)
@@ -335,14 +334,14 @@
 	return t.rng.IntN(len(t.settings.Classes))
 }
 
-// goldenEvent is something that happens in a timeline at a given time.
+// goldenEvent is an event of a timeline, at a given time.
 type goldenEvent struct {
 	at       policy.Time
-	sequence int // equal times keep their order
+	sequence int // events with equal times run in the order in which they were scheduled
 	run      func()
 }
 
-// goldenQueue is a heap of events by time.
+// goldenQueue is a heap of events by time and sequence.
 type goldenQueue []goldenEvent
 
 func (q goldenQueue) Len() int { return len(q) }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
+// Callers find the field that is out of range by the type of the error.
 func TestSettingsErrorIsTyped(t *testing.T) {
 	s := testSettings()
 	s.Routers = -3
 	_, err := New(s, 1)
-	var wrong *SettingsError
-	if !errors.As(err, &wrong) || *wrong != (SettingsError{Field: "Routers", Value: -3}) {
+	var settingsErr *SettingsError
+	if !errors.As(err, &settingsErr) || *settingsErr != (SettingsError{Field: "Routers", Value: -3}) {
 		t.Errorf("got %#v, want a SettingsError for Routers", err)
 	}
 	if want := "policy: Routers is -3, out of range"; err == nil || err.Error() != want {
@@ -20,7 +21,8 @@
 	}
 }
 
-func TestNoClassesIsASentinel(t *testing.T) {
+// Callers recognise settings without classes by ErrNoClasses.
+func TestErrNoClassesIsSentinel(t *testing.T) {
 	s := testSettings()
 	s.Classes = nil
 	if _, err := New(s, 1); !errors.Is(err, ErrNoClasses) || err.Error() != "policy: Classes is empty" {
@@ -28,8 +30,8 @@
 	}
 }
 
-// An error names the field as the caller knows it.
-func TestCheckedFieldsExist(t *testing.T) {
+// A SettingsError names a field that exists in Settings or Class.
+func TestSettingsErrorsNameExistingFields(t *testing.T) {
 	s := testSettings()
 	for _, field := range s.fields() {
 		owner, name := reflect.TypeFor[Settings](), field.name
@@ -37,7 +39,7 @@
 			owner, name = reflect.TypeFor[Class](), inClass
 		}
 		if _, ok := owner.FieldByName(name); !ok {
-			t.Errorf("%s is no field of %s", field.name, owner)
+			t.Errorf("%s is not a field of %s", field.name, owner)
 		}
 	}
 }
