--- a/internal/router/accept_error_test.go
+++ b/internal/router/accept_error_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// newReadyServer makes a server that knows one cache and does not run yet.
-func newReadyServer(t *testing.T) *Server {
+// newServerWithCache makes a server that knows one cache and does not run yet.
+func newServerWithCache(t *testing.T) *Server {
 	t.Helper()
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	if err != nil {
@@ -59,7 +59,7 @@
 // before it looked at the listener for an empty queue: closing the listener would reset the queued
 // connections, and the requests that were sent on them.
 func TestDrainAcceptsQueueAfterStall(t *testing.T) {
-	srv := newReadyServer(t)
+	srv := newServerWithCache(t)
 	srv.lateAcceptTime = 0
 	system := useFaultySystem(srv)
 	firstAccept := fault{begun: make(chan struct{}), resume: make(chan struct{})}
@@ -88,7 +88,7 @@
 // TestAcceptErrorsOfConnections checks that connections which fail before they are accepted do not
 // delay the one behind them.
 func TestAcceptErrorsOfConnections(t *testing.T) {
-	srv := newReadyServer(t)
+	srv := newServerWithCache(t)
 	srv.acceptBackoff = 2 * testTimeout
 	system := useFaultySystem(srv)
 	for range 5 {
@@ -130,7 +130,7 @@
 // TestAcceptErrorsWhileDraining checks that no error of accept ends the accept loop while connections
 // are queued.
 func TestAcceptErrorsWhileDraining(t *testing.T) {
-	srv := newReadyServer(t)
+	srv := newServerWithCache(t)
 	srv.lateAcceptTime = 0
 	system := useFaultySystem(srv)
 	firstAccept := fault{begun: make(chan struct{}), resume: make(chan struct{})}
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -111,7 +111,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		watches <- struct{}{}
-		waitForEnd(r, done)
+		waitForCallEnd(r, done)
 	})
 	return addr, up, watches
 }
--- a/internal/router/arrival_test.go
+++ b/internal/router/arrival_test.go
@@ -41,7 +41,7 @@
 }
 
 // latestTimeout is the timeout of the requests that getCommand makes.
-func (h *loopHarness) latestTimeout() policy.Time { return long.Microseconds() }
+func (h *loopHarness) latestTimeout() policy.Time { return longTimeout.Microseconds() }
 
 // TestDeadlineCountsFromLastByte checks that the deadline of a command counts from its last byte, and
 // not from an earlier command or its own first byte.
--- a/internal/router/budgets_test.go
+++ b/internal/router/budgets_test.go
@@ -22,7 +22,7 @@
 		}
 		harness.loop.applyEndpoints(list, list.Kind())
 	})
-	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	cmd := receive(t, cache.commands, "command")
 	req := harness.newRequest(nil)
 	harness.do(func() { harness.loop.perform(policy.Send{ID: req.id, Cache: "c2", Deadline: req.deadline}) })
@@ -35,7 +35,7 @@
 	harness.wantOutcome(policy.ConnectionLost)
 	receive(t, other.commands, "command").reply(t, servedReply)
 	harness.wantOutcome(policy.Served)
-	harness.sendAttempt(harness.newRequest(nil), long) // the connection to the other cache is idle now
+	harness.sendAttempt(harness.newRequest(nil), longTimeout) // the connection to the other cache is idle now
 	receive(t, cache.commands, "command").reply(t, servedReply)
 	harness.wantOutcome(policy.Served)
 	receive(t, other.closed, "end of the idle connection")
--- a/internal/router/close_crossing_test.go
+++ b/internal/router/close_crossing_test.go
@@ -111,7 +111,7 @@
 			client.send(encodeCommand("PING"))
 			client.wantLine("+PONG")
 			end(t, router, client)
-			client.wantUnreadEnd()
+			client.waitForRouterClose()
 			read := system.bytesRead.Load()
 			client.send(getCommand("r1"))
 			client.waitForDelivery()
@@ -152,8 +152,8 @@
 	}
 }
 
-// rubbishBeyondDiscard is a protocol error and more bytes behind it than are discarded.
-func rubbishBeyondDiscard() string {
+// rubbishBeyondDiscardLimit is a protocol error and more bytes behind it than are discarded.
+func rubbishBeyondDiscardLimit() string {
 	return "*x\r\n" + strings.Repeat("x", maxDiscarded+discardBufferSize)
 }
 
@@ -166,12 +166,12 @@
 	if err := client.nc.SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
 	}
-	client.send(getCommand("r1") + rubbishBeyondDiscard())
+	client.send(getCommand("r1") + rubbishBeyondDiscardLimit())
 	client.waitForDelivery()
 	value := strings.Repeat("v", resp.MaxValueSize)
 	receive(t, cache.commands, "command").reply(t, "*3\r\n$65536\r\n"+value+"\r\n$3\r\nhit\r\n$-1\r\n")
 	client.wantUnreadBytes()
-	client.send(rubbishBeyondDiscard()[:4*discardBufferSize]) // while a reply is due, what comes before is discarded
+	client.send(rubbishBeyondDiscardLimit()[:4*discardBufferSize]) // while a reply is due, what comes before is discarded
 	client.waitForDelivery()
 	client.wantLine(value)
 	if got := client.readLine(); !strings.HasPrefix(got, "-ERR ") {
--- a/internal/router/dial_fault_test.go
+++ b/internal/router/dial_fault_test.go
@@ -19,7 +19,7 @@
 			harness := newLoopHarness(t, unreachableAddr(t), nil)
 			system := harness.useFaultySystem()
 			system.injectError(callDial, err, 100)
-			harness.sendAttempt(harness.newRequest(nil), long)
+			harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			harness.wantOutcome(policy.ConnectFailed)
 			if dials := system.callCount(callDial); dials != 1 {
 				t.Errorf("%d dials", dials)
@@ -77,7 +77,7 @@
 			}
 			const burst = 10
 			for range burst {
-				harness.sendAttempt(harness.newRequest(nil), long)
+				harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			}
 			for range burst {
 				harness.wantOutcome(want)
--- a/internal/router/dial_test.go
+++ b/internal/router/dial_test.go
@@ -16,7 +16,7 @@
 // handshake of each connection fails before that, so they are established late.
 func slowAcceptServer(t *testing.T) (addr string, accept func() *fakeCache) {
 	t.Helper()
-	addr, fd := fullAcceptQueue(t)
+	addr, fd := listenWithFullAcceptQueue(t)
 	return addr, func() *fakeCache {
 		t.Helper()
 		if err := syscall.Listen(fd, 1000); err != nil {
@@ -54,7 +54,7 @@
 	r := newLoopHarness(t, addr, nil)
 	const burst = 50
 	for range burst {
-		r.sendAttempt(r.newRequest(nil), long)
+		r.sendAttempt(r.newRequest(nil), longTimeout)
 	}
 	r.do(func() {
 		if p := r.loop.pools["c1"]; p.dialing != maxDials || len(p.queue) != burst {
@@ -89,7 +89,7 @@
 	r := newLoopHarness(t, addr, func(c *config.Config) { c.Transport.DialTimeout = 300_000 })
 	const burst = 50
 	for range burst {
-		r.sendAttempt(r.newRequest(nil), long)
+		r.sendAttempt(r.newRequest(nil), longTimeout)
 	}
 	for range burst {
 		r.wantOutcome(policy.ConnectFailed)
@@ -109,7 +109,7 @@
 	r.t.Helper()
 	q := r.newRequest(nil)
 	r.do(func() { q.command.Args[resp.IDArgument] = []byte("last") })
-	r.sendAttempt(q, long)
+	r.sendAttempt(q, longTimeout)
 	cmd := receive(r.t, server().commands, "command")
 	if cmd.args[2] != "last" {
 		r.t.Errorf("the server was sent %q", cmd.args)
@@ -137,7 +137,7 @@
 			addr, accept := slowAcceptServer(t)
 			r := newLoopHarness(t, addr, nil)
 			q := r.newRequest(nil)
-			r.sendAttempt(q, long)
+			r.sendAttempt(q, longTimeout)
 			r.do(func() { end(r, q) })
 			r.wantOutcome(policy.NotSent)
 			r.wantServedNext(accept)
@@ -150,7 +150,7 @@
 	addr, accept := slowAcceptServer(t)
 	r := newLoopHarness(t, addr, nil)
 	q, later := r.newRequest(nil), r.newRequest(nil)
-	r.sendAttempt(q, long)
+	r.sendAttempt(q, longTimeout)
 	r.do(func() {
 		p := r.loop.pools["c1"]
 		var first *upstreamConn
@@ -176,13 +176,13 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	r := newLoopHarness(t, addr, nil)
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	r.wantOutcome(policy.ConnectFailed)
 }
 
 func TestDialTimeoutIsConnectFailed(t *testing.T) {
 	r := newLoopHarness(t, unreachableAddr(t), func(c *config.Config) { c.Transport.DialTimeout = 50_000 })
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	r.wantOutcome(policy.ConnectFailed)
 }
 
@@ -190,7 +190,7 @@
 func TestDrainDuringDial(t *testing.T) {
 	addr := unreachableAddr(t)
 	r := newLoopHarness(t, addr, nil)
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	r.do(func() {
 		h, err := discovery.ParseEndpointList([]byte(endpointListJSON(2, false, endpointJSON("c1", addr, "terminating"))))
 		if err != nil {
@@ -207,7 +207,7 @@
 	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 12 })
 	const burst = 100
 	for range burst {
-		r.sendAttempt(r.newRequest(nil), long)
+		r.sendAttempt(r.newRequest(nil), longTimeout)
 	}
 	conns := map[net.Conn]bool{}
 	for range burst {
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -28,7 +28,7 @@
 		"draining":       "",
 		"QUIT":           encodeCommand("QUIT"),
 		"protocol error": "*x\r\n",
-		"much rubbish":   rubbishBeyondDiscard(),
+		"much rubbish":   rubbishBeyondDiscardLimit(),
 	} {
 		for how, disconnect := range disconnects {
 			t.Run(end+", "+how, func(t *testing.T) {
@@ -163,7 +163,7 @@
 	t.Cleanup(func() { close(d.listener.admit) })
 	var busy []fakeCommand
 	for range idleConns {
-		d.harness.sendAttempt(d.harness.newRequest(nil), long)
+		d.harness.sendAttempt(d.harness.newRequest(nil), longTimeout)
 		busy = append(busy, receive(t, cache.commands, "command"))
 	}
 	for _, cmd := range busy {
@@ -252,7 +252,7 @@
 		d.t.Fatal(err)
 	}
 	d.do(func() { d.harness.loop.engine = &d.engine.scriptedEngine })
-	d.harness.sendAttempt(d.harness.acceptCommand(cmd), long)
+	d.harness.sendAttempt(d.harness.acceptCommand(cmd), longTimeout)
 	for {
 		got := receive(d.t, d.cache.commands, "command")
 		if got.args[2] == "last" {
@@ -356,7 +356,7 @@
 
 func (d *disconnectTest) waitingForConnection(how func(*testClient)) {
 	d.do(func() { d.harness.loop.pools["c1"].maxConns = 1 })
-	d.harness.sendAttempt(d.harness.newRequest(nil), long)
+	d.harness.sendAttempt(d.harness.newRequest(nil), longTimeout)
 	busy := receive(d.t, d.cache.commands, "command")
 	client, performSecond := d.sendSecondRequest()
 	d.do(func() {
--- a/internal/router/drain_busy_test.go
+++ b/internal/router/drain_busy_test.go
@@ -42,7 +42,7 @@
 // TestDrainEndsBusyConnections checks that each request that the router reads is answered, and that
 // none is read in part, on a connection on which the client sends on and on.
 func TestDrainEndsBusyConnections(t *testing.T) {
-	srv := newReadyServer(t)
+	srv := newServerWithCache(t)
 	engine := &failingEngine{}
 	srv.loop.engine = engine
 	srv.loop.maxTimeout = 1000
--- a/internal/router/drain_hang_test.go
+++ b/internal/router/drain_hang_test.go
@@ -49,7 +49,7 @@
 // TestDrainWaitsForStalledReply checks that the router does not end while a reply is being written,
 // though its last replies were due.
 func TestDrainWaitsForStalledReply(t *testing.T) {
-	srv := newReadyServer(t)
+	srv := newServerWithCache(t)
 	srv.loop.engine = &failingEngine{}
 	srv.lateAcceptTime = 0
 	srv.drainTime = time.Millisecond
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -263,7 +263,7 @@
 		close(writer.release)
 		log.SetOutput(os.Stderr)
 	})
-	srv := newReadyServer(t)
+	srv := newServerWithCache(t)
 	srv.lateAcceptTime = 0
 	router := startServer(t, srv)
 	client := dial(t, router.addr)
--- a/internal/router/fault_matrix_discovery_test.go
+++ b/internal/router/fault_matrix_discovery_test.go
@@ -57,7 +57,7 @@
 	}
 	faulty := d.countCall()
 	if faulty && d.kind == faultTimeout {
-		waitForEnd(r, done)
+		waitForCallEnd(r, done)
 		return
 	}
 	list, ok := d.await(r, done, known)
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -167,12 +167,12 @@
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	return serveHTTP(t, func(_ http.ResponseWriter, r *http.Request, done <-chan struct{}) {
-		waitForEnd(r, done)
+		waitForCallEnd(r, done)
 	})
 }
 
-// waitForEnd waits until the caller gives up or the test is over.
-func waitForEnd(r *http.Request, done <-chan struct{}) {
+// waitForCallEnd waits until the caller gives up or the test is over.
+func waitForCallEnd(r *http.Request, done <-chan struct{}) {
 	select {
 	case <-done:
 	case <-r.Context().Done():
@@ -430,7 +430,7 @@
 // serveRequest has a request served by the cache and returns the command that the cache received.
 func (h *loopHarness) serveRequest(cache *fakeCache) fakeCommand {
 	h.t.Helper()
-	h.sendAttempt(h.newRequest(nil), long)
+	h.sendAttempt(h.newRequest(nil), longTimeout)
 	cmd := receive(h.t, cache.commands, "command")
 	cmd.reply(h.t, servedReply)
 	h.wantOutcome(policy.Served)
--- a/internal/router/hidden_end_test.go
+++ b/internal/router/hidden_end_test.go
@@ -25,7 +25,7 @@
 	client.send(strings.Repeat(lines, minUnreadHidingDisconnect))
 	waitUntil(t, "unread bytes", func() bool { _, err := req.client.checkHangup(); return err != nil })
 	d.do(func() { d.perform(req, "c1") })
-	d.harness.sendAttempt(d.harness.newRequest(nil), long)
+	d.harness.sendAttempt(d.harness.newRequest(nil), longTimeout)
 	if other := receive(t, d.cache.commands, "command"); other.args[2] == "hidden" {
 		t.Error("an attempt started although the client's end may be hidden")
 	}
--- a/internal/router/idle_close_test.go
+++ b/internal/router/idle_close_test.go
@@ -10,8 +10,8 @@
 	"marlstage/internal/resp"
 )
 
-// wantUnreadEnd waits for the end of the connection and leaves what arrived before it unread.
-func (c *testClient) wantUnreadEnd() {
+// waitForRouterClose waits for the end of the connection and leaves what arrived before it unread.
+func (c *testClient) waitForRouterClose() {
 	c.t.Helper()
 	raw, err := c.nc.SyscallConn()
 	if err != nil {
@@ -60,7 +60,7 @@
 			c.send(getCommand("r1"))
 			receive(t, cache.commands, "command").reply(t, servedReply)
 			withIdleClient(t, r, closeIdle)
-			c.wantUnreadEnd()
+			c.waitForRouterClose()
 			c.send(getCommand("r2"))
 			c.send(getCommand("r3")[:20]) // on a connection that has not been reset
 			c.wantLine("value")
--- a/internal/router/idle_conn_test.go
+++ b/internal/router/idle_conn_test.go
@@ -8,13 +8,13 @@
 	"marlstage/policy"
 )
 
-// newRigWithIdleConn returns a rig with an idle connection that has settled, and the command that it carried.
-func newRigWithIdleConn(t *testing.T) (*loopHarness, *fakeCache, fakeCommand) {
+// newHarnessWithIdleConn returns a rig with an idle connection that has settled, and the command that it carried.
+func newHarnessWithIdleConn(t *testing.T) (*loopHarness, *fakeCache, fakeCommand) {
 	t.Helper()
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), nil)
 	r.do(func() { r.loop.settleTime = 0 })
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	first := receive(t, cache.commands, "command")
 	first.reply(t, servedReply)
 	r.wantOutcome(policy.Served)
@@ -26,7 +26,7 @@
 func TestUnexpectedBytesOnIdleConnection(t *testing.T) {
 	for name, wire := range map[string]string{"half a line": "-ER", "half a reply": "*3\r\n$5\r\nval", "one byte": "*"} {
 		t.Run(name, func(t *testing.T) {
-			r, cache, first := newRigWithIdleConn(t)
+			r, cache, first := newHarnessWithIdleConn(t)
 			q := r.newRequest(nil)
 			r.do(func() {
 				first.reply(t, wire)
@@ -57,7 +57,7 @@
 				cache := newFakeCache(t)
 				r := newLoopHarness(t, cache.addr(), nil)
 				q := r.newRequest(nil)
-				addr, conns := nonReadingServer(t)
+				addr, conns := nonReadingCache(t)
 				nc, err := socket.Dial(socket.Linux{}, addr, testTimeout)
 				if err != nil {
 					t.Fatal(err)
@@ -93,7 +93,7 @@
 func TestCloseIdleConnections(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), nil)
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	receive(t, cache.commands, "command").reply(t, servedReply)
 	r.wantOutcome(policy.Served)
 	r.do(func() { r.loop.perform(policy.CloseIdleConnections{Cache: "c1"}) })
@@ -103,7 +103,7 @@
 func TestIdleConnectionsExpireBeforeServerKeepalive(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Transport.Keepalive = 1000 })
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	receive(t, cache.commands, "command").reply(t, servedReply)
 	r.wantOutcome(policy.Served)
 	receive(t, cache.closed, "end of the idle connection")
--- a/internal/router/last_command_test.go
+++ b/internal/router/last_command_test.go
@@ -21,7 +21,7 @@
 
 func newLastCommandTest(t *testing.T, edit func(*Server)) *lastCommandTest {
 	t.Helper()
-	srv := newReadyServer(t)
+	srv := newServerWithCache(t)
 	srv.loop.engine = &failingEngine{}
 	if edit != nil {
 		edit(srv)
--- a/internal/router/outcome_test.go
+++ b/internal/router/outcome_test.go
@@ -37,7 +37,7 @@
 		cache := newFakeCache(t)
 		r := newLoopHarness(t, cache.addr(), nil)
 		q := r.newRequest(nil)
-		r.sendAttempt(q, long)
+		r.sendAttempt(q, longTimeout)
 		cmd := receive(t, cache.commands, "command")
 		cmd.reply(t, c.wire)
 		o := r.wantOutcome(c.result)
@@ -61,9 +61,9 @@
 		"client gone": func(r *loopHarness, q *request) { r.loop.clientDisconnected(q.client) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, cache, busy := exhaustedPool(t)
+			r, cache, busy := newHarnessWithExhaustedPool(t)
 			q := r.newRequest(nil)
-			r.sendAttempt(q, long)
+			r.sendAttempt(q, longTimeout)
 			r.do(func() { end(r, q) })
 			r.wantOutcome(policy.NotSent)
 			wantNothingForwarded(t, r, cache, busy)
@@ -72,7 +72,7 @@
 }
 
 func TestQueuedAttemptIsNotSentAfterDeadline(t *testing.T) {
-	r, cache, busy := exhaustedPool(t)
+	r, cache, busy := newHarnessWithExhaustedPool(t)
 	r.sendAttempt(r.newRequest(nil), time.Millisecond)
 	r.wantOutcome(policy.NotSent)
 	wantNothingForwarded(t, r, cache, busy)
@@ -82,18 +82,18 @@
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
 	for range minConnsPerRouter {
-		r.sendAttempt(r.newRequest(nil), long)
+		r.sendAttempt(r.newRequest(nil), longTimeout)
 		receive(t, cache.commands, "command")
 	}
 	r.do(func() { r.loop.cfg.Transport.DialTimeout = 1000 })
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	r.wantOutcome(policy.ConnectFailed)
 }
 
 func TestCloseAfterWriteIsConnectionLost(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), nil)
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	receive(t, cache.commands, "command").conn.Close()
 	r.wantOutcome(policy.ConnectionLost)
 }
@@ -101,11 +101,11 @@
 func TestCloseOfReusedConnectionIsConnectionLost(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), nil)
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	first := receive(t, cache.commands, "command")
 	first.reply(t, servedReply)
 	r.wantOutcome(policy.Served)
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	second := receive(t, cache.commands, "command")
 	if second.conn != first.conn {
 		t.Error("the idle connection was not reused")
@@ -115,10 +115,10 @@
 }
 
 func TestResetDuringWriteIsConnectFailed(t *testing.T) {
-	addr, conns := nonReadingServer(t)
+	addr, conns := nonReadingCache(t)
 	r := newLoopHarness(t, addr, nil)
 	r.allowSlowWrites()
-	r.sendAttempt(largeRequest(r), long)
+	r.sendAttempt(largeRequest(r), longTimeout)
 	nc := receive(t, conns, "connection")
 	if _, err := nc.Read(make([]byte, 1)); err != nil { // the write has begun
 		t.Fatal(err)
@@ -128,11 +128,11 @@
 }
 
 func TestCancelDuringWriteIsNotSent(t *testing.T) {
-	addr, conns := nonReadingServer(t)
+	addr, conns := nonReadingCache(t)
 	r := newLoopHarness(t, addr, nil)
 	r.allowSlowWrites()
 	q := largeRequest(r)
-	r.sendAttempt(q, long)
+	r.sendAttempt(q, longTimeout)
 	if _, err := receive(t, conns, "connection").Read(make([]byte, 1)); err != nil { // the write has begun
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), nil)
 	q := r.newRequest(nil)
-	r.sendAttempt(q, long)
+	r.sendAttempt(q, longTimeout)
 	receive(t, cache.commands, "command")
 	r.do(func() { r.loop.perform(policy.Cancel{ID: q.id, Attempt: 0}) })
 	r.wantOutcome(policy.Cancelled)
@@ -167,7 +167,7 @@
 		"+" + strings.Repeat("x", 4*resp.MaxLineLength), "*2\r\n$1\r\na\r\n!\r\n", servedReply + "trailing"} {
 		cache := newFakeCache(t)
 		r := newLoopHarness(t, cache.addr(), nil)
-		r.sendAttempt(r.newRequest(nil), long)
+		r.sendAttempt(r.newRequest(nil), longTimeout)
 		receive(t, cache.commands, "command").reply(t, wire)
 		if strings.HasPrefix(wire, servedReply) {
 			r.wantOutcome(policy.Served)
@@ -183,7 +183,7 @@
 	r := newLoopHarness(t, cache.addr(), nil)
 	value := strings.Repeat("v", resp.MaxValueSize)
 	q := r.newRequest(nil)
-	r.sendAttempt(q, long)
+	r.sendAttempt(q, longTimeout)
 	cmd := receive(t, cache.commands, "command")
 	for _, part := range []string{"*", "3\r", "\n$6553", "6\r\n" + value[:1000], value[1000:], "\r", "\n$3\r\nhit", "\r\n$-1\r\n"} {
 		cmd.reply(t, part)
@@ -218,11 +218,11 @@
 
 // TestFinalReplyStopsPartialWrite: no more of the attempt is written, and it was not executed.
 func TestFinalReplyStopsPartialWrite(t *testing.T) {
-	addr, conns := nonReadingServer(t)
+	addr, conns := nonReadingCache(t)
 	r := newLoopHarness(t, addr, nil)
 	r.allowSlowWrites()
 	q := largeRequest(r)
-	r.sendAttempt(q, long)
+	r.sendAttempt(q, longTimeout)
 	if _, err := receive(t, conns, "connection").Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -237,7 +237,7 @@
 func TestAddressChange(t *testing.T) {
 	old, moved := newFakeCache(t), newFakeCache(t)
 	r := newLoopHarness(t, old.addr(), nil)
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	cmd := receive(t, old.commands, "command")
 	r.do(func() {
 		h, err := discovery.ParseEndpointList([]byte(endpointListJSON(2, false, endpointJSON("c1", moved.addr(), "in_service"))))
@@ -248,7 +248,7 @@
 	})
 	cmd.reply(t, servedReply)
 	r.wantOutcome(policy.Served)
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	receive(t, moved.commands, "command").reply(t, servedReply)
 	r.wantOutcome(policy.Served)
 }
@@ -280,7 +280,7 @@
 		}
 		r.loop.applyEndpoints(h, h.Kind())
 	})
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	receive(t, cache.commands, "command")
 	q := r.newRequest(nil)
 	r.do(func() {
@@ -308,7 +308,7 @@
 			t.Errorf("%d pools for 2 servers on the list", n)
 		}
 	})
-	r.sendAttempt(r.newRequest(nil), long)
+	r.sendAttempt(r.newRequest(nil), longTimeout)
 	receive(t, cache.commands, "command").reply(t, servedReply)
 	r.wantOutcome(policy.Served)
 }
@@ -354,12 +354,12 @@
 		cache := newFakeCache(t)
 		r := newLoopHarness(t, cache.addr(), nil)
 		r.do(func() { r.loop.settleTime = 0 })
-		r.sendAttempt(r.newRequest(nil), long)
+		r.sendAttempt(r.newRequest(nil), longTimeout)
 		first := receive(t, cache.commands, "command")
 		first.reply(t, wire)
 		r.wantOutcome(policy.ServerError)
 		next := r.newRequest(nil)
-		r.sendAttempt(next, long)
+		r.sendAttempt(next, longTimeout)
 		second := receive(t, cache.commands, "next command")
 		first.tryReply(otherServedReply)
 		if second.conn == first.conn {
--- a/internal/router/reply_queue_test.go
+++ b/internal/router/reply_queue_test.go
@@ -54,7 +54,7 @@
 func TestUnqueuedReplyReleasesMemory(t *testing.T) {
 	cache := newFakeCache(t)
 	router, _ := startScriptedRouter(t, endpointJSON("c1", cache.addr(), "in_service"))
-	addr, conns := nonReadingServer(t)
+	addr, conns := nonReadingCache(t)
 	nc, err := socket.Dial(socket.Linux{}, addr, testTimeout)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/start_window_test.go
+++ b/internal/router/start_window_test.go
@@ -14,7 +14,7 @@
 // TestRetryIsWrittenWithinStartWindow: a server begins a command at its last byte, so a retry that has not been
 // completely written by the end of its start window is abandoned.
 func TestRetryIsWrittenWithinStartWindow(t *testing.T) {
-	addr, conns := nonReadingServer(t)
+	addr, conns := nonReadingCache(t)
 	r := newLoopHarness(t, addr, nil)
 	r.allowSlowWrites()
 	q := largeRequest(r)
@@ -61,7 +61,7 @@
 		}
 		q = r.newRequest(nil)
 		r.do(func() { q.command.Args[resp.IDArgument] = []byte("last") })
-		r.sendAttempt(q, long)
+		r.sendAttempt(q, longTimeout)
 		cmd := receive(t, accept().commands, "command")
 		if cmd.args[2] != "last" {
 			t.Errorf("the server was sent %q", cmd.args)
@@ -82,7 +82,7 @@
 			cache := newFakeCache(t)
 			r := newLoopHarness(t, cache.addr(), nil)
 			r.do(func() { r.loop.settleTime = 0 })
-			r.sendAttempt(r.newRequest(nil), long)
+			r.sendAttempt(r.newRequest(nil), longTimeout)
 			receive(t, cache.commands, "command").reply(t, servedReply)
 			r.wantOutcome(policy.Served)
 			q := r.newRequest([]byte("v"))
@@ -100,7 +100,7 @@
 		cache := newFakeCache(t)
 		r := newLoopHarness(t, cache.addr(), nil)
 		r.do(func() { r.loop.settleTime = 0 })
-		r.sendAttempt(r.newRequest(nil), long)
+		r.sendAttempt(r.newRequest(nil), longTimeout)
 		receive(t, cache.commands, "command").reply(t, servedReply)
 		r.wantOutcome(policy.Served)
 		q := r.newRequest(nil)
--- a/internal/router/truncated_reply_test.go
+++ b/internal/router/truncated_reply_test.go
@@ -47,7 +47,7 @@
 				cache := newFakeCache(t)
 				r := newLoopHarness(t, cache.addr(), nil)
 				q := r.newRequest(nil)
-				r.sendAttempt(q, long)
+				r.sendAttempt(q, longTimeout)
 				cmd := receive(t, cache.commands, "command")
 				cmd.reply(t, wire)
 				end(cmd.conn)
--- a/internal/router/upstream_conn_test.go
+++ b/internal/router/upstream_conn_test.go
@@ -55,7 +55,7 @@
 	harness.do(func() { harness.loop.settleTime = testTimeout.Microseconds() })
 	first := harness.serveRequest(cache)
 	req := harness.newRequest(nil)
-	harness.sendAttempt(req, long)
+	harness.sendAttempt(req, longTimeout)
 	first.reply(t, otherServedReply)
 	second := receive(t, cache.commands, "command")
 	second.reply(t, servedReply)
@@ -71,7 +71,7 @@
 	harness := newLoopHarness(t, cache.addr(), nil)
 	harness.do(func() { harness.loop.settleTime = testTimeout.Microseconds() })
 	harness.serveRequest(cache)
-	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	harness.do(func() {
 		p := harness.loop.pools["c1"]
 		before := len(harness.loop.timers)
@@ -106,11 +106,11 @@
 func TestReplyBeforeWriteIsComplete(t *testing.T) {
 	for name, closes := range map[string]bool{"open": false, "closed": true} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := nonReadingServer(t)
+			addr, conns := nonReadingCache(t)
 			harness := newLoopHarness(t, addr, nil)
 			harness.allowSlowWrites()
 			req := largeRequest(harness)
-			harness.sendAttempt(req, long)
+			harness.sendAttempt(req, longTimeout)
 			nc := awaitFirstByte(t, conns)
 			if _, err := io.WriteString(nc, servedReply); err != nil {
 				t.Fatal(err)
@@ -148,10 +148,10 @@
 			var cmd fakeCommand
 			for range minConnsPerRouter {
 				last = harness.newRequest(nil)
-				harness.sendAttempt(last, long)
+				harness.sendAttempt(last, longTimeout)
 				cmd = receive(t, cache.commands, "command")
 			}
-			harness.sendAttempt(harness.newRequest(nil), long)
+			harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			harness.do(func() { end(harness, last, cmd) })
 			receive(t, harness.outcomes, "outcome")
 			receive(t, cache.commands, "command of the queued attempt").reply(t, servedReply)
@@ -165,7 +165,7 @@
 func TestAddressChangeDuringDial(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, unreachableAddr(t), nil)
-	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	harness.do(func() {
 		list, err := discovery.ParseEndpointList([]byte(endpointListJSON(2, false, endpointJSON("c1", cache.addr(), "in_service"))))
 		if err != nil {
@@ -249,13 +249,13 @@
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
 	req := harness.newRequest(nil)
-	harness.sendAttempt(req, long)
+	harness.sendAttempt(req, longTimeout)
 	cmd := receive(t, cache.commands, "command")
 	cmd.reply(t, "*3\r\n$65536\r\n")
 	harness.do(func() { req.attempts[0].abandon(policy.TimedOut) })
 	harness.wantOutcome(policy.TimedOut)
 	receive(t, cache.closed, "end of the connection")
-	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	flood := receive(t, cache.commands, "command")
 	go func(nc net.Conn) { // until the router closes it
 		_, err := io.WriteString(nc, "*16\r\n")
@@ -281,7 +281,7 @@
 // TestQueuedRetryIsNotStartedTooLate checks that a retry which waited in the queue is not sent once
 // caches no longer drop it as a duplicate, although it was decided on in time.
 func TestQueuedRetryIsNotStartedTooLate(t *testing.T) {
-	harness, cache, busy := exhaustedPool(t)
+	harness, cache, busy := newHarnessWithExhaustedPool(t)
 	req := harness.newRequest(nil)
 	harness.do(func() {
 		harness.loop.perform(policy.Send{ID: req.id, Cache: "c1", StartBefore: harness.loop.now + 1000})
--- a/internal/router/upstream_harness_test.go
+++ b/internal/router/upstream_harness_test.go
@@ -13,18 +13,18 @@
 	"marlstage/policy"
 )
 
-// long is a deadline that no attempt of a test is meant to reach.
-const long = 20 * time.Second
+// longTimeout is a deadline that no attempt of a test is meant to reach.
+const longTimeout = 20 * time.Second
 
 // unreachableAddr returns an address at which no connection is ever established, as its accept queue is full.
 func unreachableAddr(t *testing.T) string {
 	t.Helper()
-	addr, _ := fullAcceptQueue(t)
+	addr, _ := listenWithFullAcceptQueue(t)
 	return addr
 }
 
-// fullAcceptQueue returns a listening socket whose accept queue is full.
-func fullAcceptQueue(t *testing.T) (addr string, fd int) {
+// listenWithFullAcceptQueue returns a listening socket whose accept queue is full.
+func listenWithFullAcceptQueue(t *testing.T) (addr string, fd int) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -57,13 +57,13 @@
 	return "", 0
 }
 
-// exhaustedPool returns a rig whose connections to the server are all in use, by the commands it returns.
-func exhaustedPool(t *testing.T) (*loopHarness, *fakeCache, []fakeCommand) {
+// newHarnessWithExhaustedPool returns a rig whose connections to the server are all in use, by the commands it returns.
+func newHarnessWithExhaustedPool(t *testing.T) (*loopHarness, *fakeCache, []fakeCommand) {
 	cache := newFakeCache(t)
 	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
 	var busy []fakeCommand
 	for range minConnsPerRouter {
-		r.sendAttempt(r.newRequest(nil), long)
+		r.sendAttempt(r.newRequest(nil), longTimeout)
 		busy = append(busy, receive(t, cache.commands, "command"))
 	}
 	return r, cache, busy
@@ -82,14 +82,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.sendAttempt(r.acceptCommand(cmd), long)
+	r.sendAttempt(r.acceptCommand(cmd), longTimeout)
 	if got := receive(t, cache.commands, "command"); got.args[2] != "last" {
 		t.Errorf("the server was sent %q", got.args)
 	}
 }
 
-// nonReadingServer accepts connections and reads nothing from them.
-func nonReadingServer(t *testing.T) (addr string, conns chan net.Conn) {
+// nonReadingCache accepts connections and reads nothing from them.
+func nonReadingCache(t *testing.T) (addr string, conns chan net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/upstream_write_test.go
+++ b/internal/router/upstream_write_test.go
@@ -26,7 +26,7 @@
 // allowSlowWrites has the loop take as long as a test needs to write a command.
 func (h *loopHarness) allowSlowWrites() {
 	h.t.Helper()
-	h.do(func() { h.loop.maxWriteTime = long.Microseconds() })
+	h.do(func() { h.loop.maxWriteTime = longTimeout.Microseconds() })
 }
 
 // connectClient gives a request a client that nobody reads from, so that only a look at its socket
@@ -71,12 +71,12 @@
 func TestClientLeavesDuringWrite(t *testing.T) {
 	for how, disconnect := range disconnects {
 		t.Run(how, func(t *testing.T) {
-			addr, conns := nonReadingServer(t)
+			addr, conns := nonReadingCache(t)
 			harness := newLoopHarness(t, addr, nil)
 			harness.allowSlowWrites()
 			req := largeRequest(harness)
 			client := harness.connectClient(req)
-			harness.sendAttempt(req, long)
+			harness.sendAttempt(req, longTimeout)
 			nc := awaitFirstByte(t, conns)
 			disconnect(client)
 			waitUntil(t, "the end of the client's connection", req.client.hungUp)
@@ -89,10 +89,10 @@
 // TestSlowWriteIsGivenUp checks that a command is not completed long after the timeout in it was
 // computed, as the server counts that from the last byte.
 func TestSlowWriteIsGivenUp(t *testing.T) {
-	addr, conns := nonReadingServer(t)
+	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
 	req := largeRequest(harness)
-	harness.sendAttempt(req, long)
+	harness.sendAttempt(req, longTimeout)
 	nc := awaitFirstByte(t, conns)
 	const slack = 150_000 // between the timeout that a server is told and what the client has left
 	late := harness.loop.clock() + slack
@@ -150,7 +150,7 @@
 				}
 				return nil
 			}
-			harness.sendAttempt(harness.newRequest(nil), long)
+			harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			waitUntil(t, "a write", func() bool { return system.callCount(callWrite) > 0 })
 			harness.do(func() {
 				harness.loop.pools["c1"].update(cache.addr(), 0, false)
@@ -195,7 +195,7 @@
 			cache := newFakeCache(t)
 			harness := newLoopHarness(t, cache.addr(), nil)
 			system := harness.useFaultySystem()
-			harness.sendAttempt(harness.newRequest(nil), long)
+			harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			cmd := receive(t, cache.commands, "command")
 			system.inject(callRead, fault{maxBytes: 1}, fault{err: err}, fault{maxBytes: 1}, fault{err: err})
 			cmd.reply(t, servedReply)
