--- a/internal/router/accept_error_test.go
+++ b/internal/router/accept_error_test.go
@@ -21,13 +21,13 @@
 // deadlineListener reports the deadlines that are set and replaces some of them.
 type deadlineListener struct {
 	*net.TCPListener
-	set     chan time.Time               // receives each deadline once it is set
-	replace func(at time.Time) time.Time // returns the deadline to be set
+	deadlines chan time.Time               // receives each deadline once it is set
+	replace   func(at time.Time) time.Time // returns the deadline to be set
 }
 
 func (l *deadlineListener) SetDeadline(at time.Time) error {
 	err := l.TCPListener.SetDeadline(l.replace(at))
-	l.set <- at
+	l.deadlines <- at
 	return err
 }
 
@@ -46,7 +46,7 @@
 	client := dial(t, router.addr)
 	client.send(encodeCommand("PING"))
 	router.stop()
-	receive(t, listener.set, "interruption of accept")
+	receive(t, listener.deadlines, "interruption of accept")
 	close(firstAccept.resume)
 	client.wantLine("+PONG")
 	client.wantClosed()
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -24,17 +24,17 @@
 	var order []string
 	var ran sync.WaitGroup
 	ran.Add(2 * count)
-	note := func(what string) func() {
+	record := func(what string) func() {
 		return func() {
 			order = append(order, what)
 			ran.Done()
 		}
 	}
 	for range count {
-		harness.loop.postRequest(note("request"))
+		harness.loop.postRequest(record("request"))
 	}
 	for range count {
-		harness.loop.post(note("event"))
+		harness.loop.post(record("event"))
 	}
 	close(resume)
 	ran.Wait()
@@ -73,9 +73,9 @@
 	harness.waitForOpenRequests(1)
 }
 
-// TestRequestOfGoneClientIsDropped checks that a request whose client's end overtakes it, as other events
+// TestRequestOfDisconnectedClientIsDropped checks that a request whose client's end overtakes it, as other events
 // come before requests, is not taken any more.
-func TestRequestOfGoneClientIsDropped(t *testing.T) {
+func TestRequestOfDisconnectedClientIsDropped(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
 		c := &clientConn{requests: map[int64]*request{}}
@@ -88,13 +88,13 @@
 	})
 }
 
-// reportRecorder is an engine that notes the reports of delays.
-type reportRecorder struct {
+// delayReportRecorder is an engine that notes the reports of delays.
+type delayReportRecorder struct {
 	scriptedEngine
 	reports chan *policy.DelayReport
 }
 
-func (r *reportRecorder) Handle(now policy.Time, ev policy.Event) []policy.Action {
+func (r *delayReportRecorder) Handle(now policy.Time, ev policy.Event) []policy.Action {
 	if report, ok := ev.(*policy.DelayReport); ok {
 		r.reports <- report
 	}
@@ -104,20 +104,20 @@
 // TestDelayReports checks what the engine is told of how late requests are handled.
 func TestDelayReports(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
-	recorder := &reportRecorder{reports: make(chan *policy.DelayReport, 100)}
+	recorder := &delayReportRecorder{reports: make(chan *policy.DelayReport, 100)}
 	harness.do(func() {
 		recorder.outcomes = harness.outcomes
 		harness.loop.engine = recorder
 	})
-	const late = 30_000
+	const delay = 30_000
 	harness.do(func() {
 		for i := range policy.Time(3) {
-			harness.loop.delayReporter.noteRequest(harness.loop.now - late - i)
+			harness.loop.delayReporter.noteRequest(harness.loop.now - delay - i)
 		}
 	})
 	report := receive(t, recorder.reports, "report")
-	if report.MinDelay != late || report.Handled != 3 || report.Interval < delayReportInterval {
-		t.Errorf("report %+v, want 3 requests, one of them handled %d late", report, late)
+	if report.MinDelay != delay || report.Handled != 3 || report.Interval < delayReportInterval {
+		t.Errorf("report %+v, want 3 requests, one of them handled %d late", report, delay)
 	}
 	harness.do(func() { harness.loop.perform(policy.LimitRequests{PerSecond: 1000}) })
 	harness.do(func() { harness.loop.delayReporter.noteRequest(harness.loop.now) })
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestNoReportBehindStall checks that a report which a stall delays is put off, as it would take the requests
+// TestNoReportAfterStall checks that a report which a stall delays is put off, as it would take the requests
 // of that moment for the rule.
-func TestNoReportBehindStall(t *testing.T) {
+func TestNoReportAfterStall(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
 		loop := harness.loop
--- a/internal/router/arrival_test.go
+++ b/internal/router/arrival_test.go
@@ -22,7 +22,7 @@
 	const commands = 3 * maxPipelined
 	client.send(strings.Repeat(getCommand("r"), commands))
 	harness.waitForFullReplyQueue()
-	latest := harness.loop.clock() + harness.latestTimeout() + timeoutSlack
+	latest := harness.loop.clock() + harness.requestTimeout() + timeoutSlack
 	resumed := harness.loop.clock() + 2*timeoutSlack
 	waitUntil(t, "the end of a long wait", func() bool { return harness.loop.clock() > resumed })
 	answered := 0
@@ -40,8 +40,8 @@
 	})
 }
 
-// latestTimeout is the timeout of the requests that getCommand makes.
-func (h *loopHarness) latestTimeout() policy.Time { return longTimeout.Microseconds() }
+// requestTimeout is the timeout of the requests that getCommand makes.
+func (h *loopHarness) requestTimeout() policy.Time { return longTimeout.Microseconds() }
 
 // TestDeadlineCountsFromLastByte checks that the deadline of a command counts from its last byte, and
 // not from an earlier command or its own first byte.
@@ -61,7 +61,7 @@
 			req := harness.onlyRequest()
 			// A stall of the machine that runs the test makes the arrival uncertain by its length.
 			stalled := harness.loop.statistics.longestStall.Load()
-			if early := late + harness.latestTimeout() - req.deadline; early > stalled {
+			if early := late + harness.requestTimeout() - req.deadline; early > stalled {
 				t.Errorf("the deadline is %d us too early", early)
 			}
 		})
@@ -113,7 +113,7 @@
 // arrival if its connection waits at the listener while accept fails, and that it is no earlier, also
 // where the system does not tell when bytes arrived.
 func TestDeadlineCountsWhileConnectionIsQueued(t *testing.T) {
-	for name, untold := range map[string]bool{"told": false, "not told": true} {
+	for name, ageUnknown := range map[string]bool{"data age known": false, "data age unknown": true} {
 		t.Run(name, func(t *testing.T) {
 			srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 			if err != nil {
@@ -122,12 +122,12 @@
 			engine := &scriptedEngine{outcomes: make(chan *policy.AttemptDone, 1000)}
 			srv.loop.engine = engine
 			system := useFaultySystem(srv)
-			var released atomic.Bool
+			var acceptWorks atomic.Bool
 			system.setDecide(func(call systemCall, _ int) *fault {
 				switch {
-				case call == callAccept && !released.Load():
+				case call == callAccept && !acceptWorks.Load():
 					return &fault{err: unix.ENFILE}
-				case call == callLastDataAge && untold:
+				case call == callLastDataAge && ageUnknown:
 					return &fault{err: unix.ENOPROTOOPT}
 				default:
 					return nil
@@ -140,7 +140,7 @@
 			client.send(getCommand("r1"))
 			after := srv.loop.clock()
 			waitUntil(t, "the end of the slack", func() bool { return srv.loop.clock() > after+2*timeoutSlack })
-			released.Store(true)
+			acceptWorks.Store(true)
 			req := (&loopHarness{t, srv.loop, engine.outcomes}).onlyRequest()
 			if req.deadline > after+timeout+timeoutSlack {
 				t.Errorf("a deadline is %d us too late", req.deadline-after-timeout)
--- a/internal/router/backlog_probe_test.go
+++ b/internal/router/backlog_probe_test.go
@@ -20,7 +20,7 @@
 		return true
 	})
 	now := start + stall
-	want := func(since policy.Time, probes int) {
+	check := func(since policy.Time, probes int) {
 		t.Helper()
 		if got := m.earliestArrival(now); got != since {
 			t.Errorf("%d after the stall: arrived since %d, want %d", now-start-stall, got-start, since-start)
@@ -30,25 +30,25 @@
 		}
 	}
 	m.beat(now)
-	want(start, 1)
+	check(start, 1)
 	for range 5 { // the time that it takes to read what has arrived is no measure of a fixed length
 		now += paused
 		m.beat(now)
-		want(start, 1)
+		check(start, 1)
 	}
 	m.probeReturned(now) // so late that what came behind the probe has waited, too
-	want(start+stall, 2)
+	check(start+stall, 2)
 	now += 1000
 	m.probeReturned(now)
-	want(start+stall, 2)
+	check(start+stall, 2)
 	now += backlogTime
-	want(now, 2)
+	check(now, 2)
 	m.noteLate(now-minBehindDelay, now)
-	want(now-minBehindDelay, 3)
+	check(now-minBehindDelay, 3)
 	now += 1000
 	m.probeReturned(now)
 	now += backlogTime
-	want(now, 3)
+	check(now, 3)
 }
 
 // TestLostBacklogProbe checks that a probe that does not return does not make all requests count as old.
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -186,12 +186,12 @@
 	idle.send(encodeCommand("ECHO")) // received before the router waits for it
 	router := startServer(t, srv)
 	idle.wantLine("-ERR unknown command")
-	late := map[string]*testClient{}
+	silent := map[string]*testClient{}
 	for _, partial := range []string{"", "\r\n", "*0\r\n", "PI", "*4\r\n$5\r\nC.GET\r\n$2\r\nk"} {
-		late[partial] = dial(t, router.addr)
-		late[partial].send(partial)
+		silent[partial] = dial(t, router.addr)
+		silent[partial].send(partial)
 	}
-	for partial, client := range late {
+	for partial, client := range silent {
 		if partial != "" && !strings.HasSuffix(partial, "\r\n") {
 			if got := client.readLine(); !strings.HasPrefix(got, "-ERR ") {
 				t.Errorf("%q: reply %q", partial, got)
--- a/internal/router/close_crossing_test.go
+++ b/internal/router/close_crossing_test.go
@@ -71,10 +71,10 @@
 			client.send(early)
 			startServer(t, srv)
 			receive(t, stall.begun, "read")
-			late := time.Now().Add(srv.commandTimeout)
+			commandDeadline := time.Now().Add(srv.commandTimeout)
 			client.send(request[len(early):])
 			client.waitForDelivery()
-			waitUntil(t, "the end of the time for a command", func() bool { return time.Now().After(late) })
+			waitUntil(t, "the end of the time for a command", func() bool { return time.Now().After(commandDeadline) })
 			close(stall.resume)
 			receive(t, cache.commands, "command").reply(t, servedReply)
 			client.wantLine("value")
@@ -128,20 +128,20 @@
 // that was never answered and its close.
 func TestRequestCrossesCloseOfNewConnection(t *testing.T) {
 	router, system, client := startFaultyRouter(t)
-	lastLooks := map[systemCall]fault{callPeek: stallWithoutBytes(), callRead: stallWithoutBytes()}
-	for call, stall := range lastLooks {
+	finalChecks := map[systemCall]fault{callPeek: stallWithoutBytes(), callRead: stallWithoutBytes()}
+	for call, stall := range finalChecks {
 		system.inject(call, stall)
 	}
 	router.srv.closeIdleClients()
 	select {
-	case <-lastLooks[callPeek].begun:
-	case <-lastLooks[callRead].begun:
+	case <-finalChecks[callPeek].begun:
+	case <-finalChecks[callRead].begun:
 	case <-time.After(testTimeout):
 		t.Fatal("the reader does not look at the connection")
 	}
 	client.send(getCommand("r1"))
 	client.waitForDelivery()
-	for _, stall := range lastLooks {
+	for _, stall := range finalChecks {
 		close(stall.resume)
 	}
 	client.wantClosed()
@@ -170,7 +170,7 @@
 	client.waitForDelivery()
 	value := strings.Repeat("v", resp.MaxValueSize)
 	receive(t, cache.commands, "command").reply(t, "*3\r\n$65536\r\n"+value+"\r\n$3\r\nhit\r\n$-1\r\n")
-	client.wantUnreadBytes()
+	client.waitForUnreadReply()
 	client.send(rubbishBeyondDiscardLimit()[:4*discardBufferSize]) // while a reply is due, what comes before is discarded
 	client.waitForDelivery()
 	client.wantLine(value)
@@ -179,8 +179,8 @@
 	}
 }
 
-// wantUnreadBytes waits until part of a reply has arrived, and leaves it unread.
-func (c *testClient) wantUnreadBytes() {
+// waitForUnreadReply waits until part of a reply has arrived, and leaves it unread.
+func (c *testClient) waitForUnreadReply() {
 	c.t.Helper()
 	if _, err := c.reader.Peek(1); err != nil {
 		c.t.Fatal(err)
@@ -212,8 +212,8 @@
 	read := system.bytesRead.Load()
 	client.send(getCommand("r2"))
 	client.waitForDelivery()
-	lingered := time.Now().Add(4 * hangupCheckInterval)
-	waitUntil(t, "the end of the lingering", func() bool { return time.Now().After(lingered) })
+	afterLinger := time.Now().Add(4 * hangupCheckInterval)
+	waitUntil(t, "the end of the lingering", func() bool { return time.Now().After(afterLinger) })
 	client.wantLine(value)
 	if n := system.bytesRead.Load() - read; n > 0 {
 		t.Errorf("%d bytes were read after the close", n)
--- a/internal/router/client_leaves_stalled_test.go
+++ b/internal/router/disconnect_while_stalled_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestClientLeavesWhileStalled has the client disconnect while the router is stalled between its looks
+// TestClientDisconnectsWhileStalled has the client disconnect while the router is stalled between its looks
 // at the clock and at the connection to the cache and the write of an attempt's first byte.
-func TestClientLeavesWhileStalled(t *testing.T) {
+func TestClientDisconnectsWhileStalled(t *testing.T) {
 	for how, disconnect := range disconnects {
 		t.Run(how, func(t *testing.T) {
 			d := newDisconnectTest(t, 1)
--- a/internal/router/flood_test.go
+++ b/internal/router/flood_test.go
@@ -20,7 +20,7 @@
 
 // flood is what each of many peers sends to a router without reading.
 type flood struct {
-	part           string // sent repeatedly, ...
+	pattern        string // sent repeatedly, ...
 	bytes          int    // ... until so many bytes are sent
 	commandTimeout time.Duration
 	disconnects    bool // the peer disconnects once it has sent all, or has sent for a while
@@ -70,7 +70,7 @@
 			other.wantLine("+PONG")
 			if !flood.disconnects {
 				for _, peer := range peers {
-					peer.wantReplyOrEnd()
+					peer.wantReplyOrClose()
 					peer.close()
 				}
 			}
@@ -99,7 +99,7 @@
 			peer.t.Error(err)
 		}
 	}
-	chunk := strings.Repeat(f.part, max(1, min(f.bytes, floodChunkSize)/len(f.part)))
+	chunk := strings.Repeat(f.pattern, max(1, min(f.bytes, floodChunkSize)/len(f.pattern)))
 	for sent := 0; sent < f.bytes; sent += len(chunk) {
 		if _, err := io.WriteString(peer.nc, chunk); err != nil {
 			return
@@ -107,8 +107,8 @@
 	}
 }
 
-// wantReplyOrEnd checks that the router sends an error or PONG, or ends the connection.
-func (c *testClient) wantReplyOrEnd() {
+// wantReplyOrClose checks that the router sends an error or PONG, or ends the connection.
+func (c *testClient) wantReplyOrClose() {
 	c.t.Helper()
 	line, err := c.reader.ReadString('\n')
 	if errors.Is(err, os.ErrDeadlineExceeded) || err == nil && line[0] != '-' && line != "+PONG\r\n" {
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -146,8 +146,8 @@
 }
 
 // endpointListJSON is an endpoint list in discovery's form.
-func endpointListJSON(index int, full bool, endpoints ...string) string {
-	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, index, full, strings.Join(endpoints, ","))
+func endpointListJSON(index int, snapshot bool, endpoints ...string) string {
+	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, index, snapshot, strings.Join(endpoints, ","))
 }
 
 // serveHTTP serves calls until the test is over, which closes done, and returns its address.
--- a/internal/router/hidden_end_test.go
+++ b/internal/router/hidden_disconnect_test.go
@@ -9,10 +9,10 @@
 
 // A client's end can't be seen behind bytes that its machine could not deliver yet, or that nobody reads.
 
-// TestAttemptWaitsForHiddenEnd checks that an attempt waits while so much of its client is unread that the
+// TestAttemptWaitsForHiddenDisconnect checks that an attempt waits while so much of its client is unread that the
 // client's end may be hidden behind that, that attempts for others do not wait for it, and that it starts
 // once the client has been read.
-func TestAttemptWaitsForHiddenEnd(t *testing.T) {
+func TestAttemptWaitsForHiddenDisconnect(t *testing.T) {
 	d := newDisconnectTest(t, 2)
 	client := d.dial()
 	client.send(getCommand("hidden"))
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestNoAttemptStartsBehindUnreadBytes checks that no attempt starts for a client that sends on where the
+// TestAttemptIsNotSentWithUnreadBytes checks that no attempt starts for a client that sends on where the
 // router reads no more, so that its end can't be seen.
-func TestNoAttemptStartsBehindUnreadBytes(t *testing.T) {
+func TestAttemptIsNotSentWithUnreadBytes(t *testing.T) {
 	d := newDisconnectTest(t, 1)
 	client := d.dial()
 	client.send(getCommand("r1") + encodeCommand("QUIT"))
--- a/internal/router/idle_close_test.go
+++ b/internal/router/idle_close_test.go
@@ -28,12 +28,12 @@
 }
 
 // withIdleClient waits for a client connection that has had a command and owes no reply, and calls f with it.
-func withIdleClient(t *testing.T, r *runningRouter, f func(*clientConn)) {
+func withIdleClient(t *testing.T, router *runningRouter, f func(*clientConn)) {
 	t.Helper()
 	waitUntil(t, "an idle connection", func() bool {
-		r.srv.mu.Lock()
-		defer r.srv.mu.Unlock()
-		for c := range r.srv.clients {
+		router.srv.mu.Lock()
+		defer router.srv.mu.Unlock()
+		for c := range router.srv.clients {
 			if c.pendingReplies.Load() == 0 && c.hasCommand.Load() {
 				f(c)
 				return true
@@ -55,19 +55,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cache := newFakeCache(t)
-			r := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
-			c := dial(t, r.addr)
-			c.send(getCommand("r1"))
+			router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
+			client := dial(t, router.addr)
+			client.send(getCommand("r1"))
 			receive(t, cache.commands, "command").reply(t, servedReply)
-			withIdleClient(t, r, closeIdle)
-			c.waitForRouterClose()
-			c.send(getCommand("r2"))
-			c.send(getCommand("r3")[:20]) // on a connection that has not been reset
-			c.wantLine("value")
-			if _, err := c.reader.ReadByte(); err != io.EOF {
+			withIdleClient(t, router, closeIdle)
+			client.waitForRouterClose()
+			client.send(getCommand("r2"))
+			client.send(getCommand("r3")[:20]) // on a connection that has not been reset
+			client.wantLine("value")
+			if _, err := client.reader.ReadByte(); err != io.EOF {
 				t.Errorf("the connection ended with %v", err)
 			}
-			next := dial(t, r.addr)
+			next := dial(t, router.addr)
 			next.send(getCommand("r4"))
 			if cmd := receive(t, cache.commands, "command"); cmd.args[2] != "r4" {
 				t.Errorf("what crossed the close was forwarded: %q", cmd.args)
@@ -76,30 +76,30 @@
 	}
 }
 
-// TestBytesBehindUnreadReply: the client has hardly begun to read a large reply, long after the router has written it.
+// TestBytesAfterCloseKeepUnreadReply: the client has hardly begun to read a large reply, long after the router has written it.
 // Bytes that arrive then must not turn the close into a reset, which would lose the rest of the reply.
-func TestBytesBehindUnreadReply(t *testing.T) {
+func TestBytesAfterCloseKeepUnreadReply(t *testing.T) {
 	cache := newFakeCache(t)
-	r := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
-	c := dial(t, r.addr)
-	if err := c.nc.SetReadBuffer(4096); err != nil {
+	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
+	client := dial(t, router.addr)
+	if err := client.nc.SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
 	}
-	c.send(getCommand("r1"))
+	client.send(getCommand("r1"))
 	value := strings.Repeat("v", resp.MaxValueSize)
 	receive(t, cache.commands, "command").reply(t, "*3\r\n$65536\r\n"+value+"\r\n$3\r\nhit\r\n$-1\r\n")
-	withIdleClient(t, r, func(c *clientConn) {
+	withIdleClient(t, router, func(c *clientConn) {
 		c.lastReplyAt.Add(-2 * lingerTime.Microseconds()) // as though it had been idle for so long
 		c.closeWhenIdle()
 	})
 	waitUntil(t, "a lingering close", func() bool {
-		r.srv.mu.Lock()
-		defer r.srv.mu.Unlock()
-		for cl := range r.srv.clients {
-			return cl.lingering.Load()
+		router.srv.mu.Lock()
+		defer router.srv.mu.Unlock()
+		for conn := range router.srv.clients {
+			return conn.lingering.Load()
 		}
 		return true
 	})
-	c.send(getCommand("r2"))
-	c.wantLine(value)
+	client.send(getCommand("r2"))
+	client.wantLine(value)
 }
--- a/internal/router/machine_fault_test.go
+++ b/internal/router/local_dial_errors_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestRequestsOutlastMachineFault checks that requests which arrive while the router's own machine
+// TestRequestsSurviveLocalDialErrors checks that requests which arrive while the router's own machine
 // can't open connections are served once it can, by the real engine, with two caches.
-func TestRequestsOutlastMachineFault(t *testing.T) {
+func TestRequestsSurviveLocalDialErrors(t *testing.T) {
 	for _, err := range []error{unix.ENFILE, unix.ENOBUFS, unix.EADDRNOTAVAIL, unix.ENETUNREACH} {
 		t.Run(err.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -22,9 +22,9 @@
 				t.Fatal(newErr)
 			}
 			system := useFaultySystem(srv)
-			var healed atomic.Bool
+			var recovered atomic.Bool
 			system.decide = func(call systemCall, _ int) *fault {
-				if call == callDial && !healed.Load() {
+				if call == callDial && !recovered.Load() {
 					return &fault{err: err}
 				}
 				return nil
@@ -38,7 +38,7 @@
 				clients = append(clients, client)
 			}
 			waitUntil(t, "several dials", func() bool { return system.callCount(callDial) > 3*maxDials })
-			healed.Store(true)
+			recovered.Store(true)
 			for _, client := range clients {
 				client.wantLine("value")
 			}
--- a/internal/router/upstream_harness_test.go
+++ b/internal/router/upstream_harness_test.go
@@ -60,29 +60,29 @@
 // newHarnessWithExhaustedPool returns a rig whose connections to the server are all in use, by the commands it returns.
 func newHarnessWithExhaustedPool(t *testing.T) (*loopHarness, *fakeCache, []fakeCommand) {
 	cache := newFakeCache(t)
-	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
+	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
 	var busy []fakeCommand
 	for range minConnsPerRouter {
-		r.sendAttempt(r.newRequest(nil), longTimeout)
+		harness.sendAttempt(harness.newRequest(nil), longTimeout)
 		busy = append(busy, receive(t, cache.commands, "command"))
 	}
-	return r, cache, busy
+	return harness, cache, busy
 }
 
 // wantNothingForwarded replies to the commands that use the connections and has one more request served: had anything
 // else been forwarded before it, the server would have received that by then.
-func wantNothingForwarded(t *testing.T, r *loopHarness, cache *fakeCache, busy []fakeCommand) {
+func wantNothingForwarded(t *testing.T, harness *loopHarness, cache *fakeCache, busy []fakeCommand) {
 	t.Helper()
 	for _, cmd := range busy {
 		cmd.reply(t, servedReply)
-		r.wantOutcome(policy.Served)
+		harness.wantOutcome(policy.Served)
 	}
 	args := [][]byte{[]byte("C.GET"), []byte("k1"), []byte("last"), []byte("c=read,d=20000")}
 	cmd, err := resp.ParseCommand(args, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.sendAttempt(r.acceptCommand(cmd), longTimeout)
+	harness.sendAttempt(harness.acceptCommand(cmd), longTimeout)
 	if got := receive(t, cache.commands, "command"); got.args[2] != "last" {
 		t.Errorf("the server was sent %q", got.args)
 	}
@@ -110,8 +110,8 @@
 }
 
 // largeRequest returns a request that no socket takes at once.
-func largeRequest(r *loopHarness) *request {
-	q := r.newRequest([]byte("v"))
-	r.do(func() { q.command.Args[resp.ValueArgument] = bytes.Repeat([]byte("v"), 64<<20) })
-	return q
+func largeRequest(harness *loopHarness) *request {
+	req := harness.newRequest([]byte("v"))
+	harness.do(func() { req.command.Args[resp.ValueArgument] = bytes.Repeat([]byte("v"), 64<<20) })
+	return req
 }
