--- a/internal/router/accept_error_test.go
+++ b/internal/router/accept_error_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// newServerWithCache makes a server that knows one cache and does not run yet.
+// newServerWithCache returns a server that knows one cache and is not running yet.
 func newServerWithCache(t *testing.T) *Server {
 	t.Helper()
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
@@ -18,11 +18,11 @@
 	return srv
 }
 
-// deadlineListener reports the deadlines that are set and replaces some of them.
+// deadlineListener reports the deadlines that are set on a listener and may replace them.
 type deadlineListener struct {
 	*net.TCPListener
-	deadlines chan time.Time               // receives each deadline once it is set
-	replace   func(at time.Time) time.Time // returns the deadline to be set
+	deadlines chan time.Time               // receives each requested deadline after it is set
+	replace   func(at time.Time) time.Time // returns the deadline to set instead
 }
 
 func (l *deadlineListener) SetDeadline(at time.Time) error {
@@ -31,15 +31,16 @@
 	return err
 }
 
-// useDeadlineListener installs a deadlineListener in a server that does not run yet.
+// useDeadlineListener installs a deadlineListener in a server that is not running yet.
 func useDeadlineListener(srv *Server, replace func(at time.Time) time.Time) *deadlineListener {
 	listener := &deadlineListener{srv.listener.(*net.TCPListener), make(chan time.Time, 1000), replace}
 	srv.listener = listener
 	return listener
 }
 
-// wantQueuedClientAnswered has a client queue at the listener while the first call of accept is held
-// up, ends the router, and checks that the client is answered before the router ends.
+// wantQueuedClientAnswered connects a client while the first call of accept is stalled, so that its
+// connection is queued at the listener. It stops the router and checks that the client is answered before
+// the router ends.
 func wantQueuedClientAnswered(t *testing.T, router *runningRouter, listener *deadlineListener, firstAccept fault) {
 	t.Helper()
 	receive(t, firstAccept.begun, "call of accept")
@@ -55,9 +56,9 @@
 	}
 }
 
-// TestDrainAcceptsQueueAfterStall checks that the accept loop does not take a deadline that passed
-// before it looked at the listener for an empty queue: closing the listener would reset the queued
-// connections, and the requests that were sent on them.
+// TestDrainAcceptsQueueAfterStall checks that the accept loop does not conclude that the queue is empty
+// from a deadline that passed before it checked the listener. Closing the listener would reset the queued
+// connections and lose the requests that were sent on them.
 func TestDrainAcceptsQueueAfterStall(t *testing.T) {
 	srv := newServerWithCache(t)
 	srv.lateAcceptTime = 0
@@ -67,7 +68,7 @@
 	deadlines := 0
 	listener := useDeadlineListener(srv, func(at time.Time) time.Time {
 		if deadlines++; deadlines <= 3 {
-			return time.Unix(1, 0) // as though the router were stalled until the deadline has passed
+			return time.Unix(1, 0) // simulates a router that is stalled until the deadline has passed
 		}
 		return at
 	})
@@ -75,8 +76,8 @@
 	wantQueuedClientAnswered(t, router, listener, firstAccept)
 }
 
-// acceptErrors are the errors that accept(2) documents, and epoll_ctl(2) for the registration that
-// follows: of the connection taken from the queue, and of a machine that is short of resources.
+// acceptErrors are the errors documented for accept(2) and for epoll_ctl(2), which registers the accepted
+// connection. They concern either the connection taken from the queue or a shortage of resources.
 var acceptErrors = struct{ connection, shortage []unix.Errno }{
 	connection: []unix.Errno{
 		unix.ECONNABORTED, unix.EINTR, unix.EAGAIN, unix.EPERM, unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT,
@@ -85,8 +86,8 @@
 	shortage: []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC},
 }
 
-// TestAcceptErrorsOfConnections checks that connections which fail before they are accepted do not
-// delay the one behind them.
+// TestAcceptErrorsOfConnections checks that connections that fail before they are accepted do not delay
+// the connection queued behind them.
 func TestAcceptErrorsOfConnections(t *testing.T) {
 	srv := newServerWithCache(t)
 	srv.acceptBackoff = 2 * testTimeout
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestAcceptBackoff checks that errors of connections wait only where too many come in a row, and
-// that a shortage of resources always waits.
+// TestAcceptBackoff checks that errors of connections cause a backoff only after too many in a row, and
+// that a shortage of resources always does.
 func TestAcceptBackoff(t *testing.T) {
 	for _, errno := range acceptErrors.shortage {
 		var failures acceptFailures
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestAcceptErrorsWhileDraining checks that no error of accept ends the accept loop while connections
-// are queued.
+// TestAcceptErrorsWhileDraining checks that no error of accept or poll ends the accept loop while
+// connections are queued.
 func TestAcceptErrorsWhileDraining(t *testing.T) {
 	srv := newServerWithCache(t)
 	srv.lateAcceptTime = 0
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// TestIdleClientsAreEvicted checks that idle clients do not shut out others.
+// TestIdleClientsAreEvicted checks that idle clients that use up the descriptors do not keep others from
+// connecting.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), withMinSockets,
@@ -46,7 +47,7 @@
 	}
 }
 
-// exhaustedListener is out of descriptors for its first calls of Accept.
+// exhaustedListener fails its first calls of Accept for lack of descriptors.
 type exhaustedListener struct {
 	net.Listener
 	failuresLeft atomic.Int64
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestNewConnectionIsNotEvicted checks that a connection is not closed while its first command is
-// probably on its way.
+// TestNewConnectionIsNotEvicted checks that a new connection is not evicted while its first command is
+// probably in transit.
 func TestNewConnectionIsNotEvicted(t *testing.T) {
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	if err != nil {
@@ -101,7 +102,8 @@
 	waitUntil(t, "an idle connection", func() bool { return srv.longestIdleClient() != nil })
 }
 
-// recoveringDiscovery aborts calls until up is set. Then it leaves watches open and reports each.
+// recoveringDiscovery starts a discovery service that aborts calls until up is set. After that it leaves
+// watches open and reports each.
 func recoveringDiscovery(t *testing.T) (addr string, up *atomic.Bool, watches chan struct{}) {
 	t.Helper()
 	up = new(atomic.Bool)
@@ -116,10 +118,10 @@
 	return addr, up, watches
 }
 
-// TestIdleClientsAreEvictedWhileDiscoveryIsDown checks that idle clients which use up the descriptors
-// and queue for more are evicted at once, without a wait for them to read replies that they were
-// never sent. Requests are answered, also by a cache that has to be dialed again, no client with a
-// request in flight is evicted, and the watch opens once discovery is back.
+// TestIdleClientsAreEvictedWhileDiscoveryIsDown checks that idle clients that use up the descriptors, with
+// more of them queued, are evicted at once: the router does not wait until they read replies that were
+// never sent. Requests are answered, also after the connection to the cache has to be dialed again, no
+// client with a request in flight is evicted, and the watch opens once discovery is available.
 func TestIdleClientsAreEvictedWhileDiscoveryIsDown(t *testing.T) {
 	for _, descriptors := range []int{minSockets, 128, 256} {
 		t.Run(fmt.Sprint(descriptors), func(t *testing.T) {
@@ -127,7 +129,7 @@
 			discovery, up, watches := recoveringDiscovery(t)
 			srv, err := New(testConfig(t, discovery, func(in map[string]any) {
 				in["limits"].(map[string]any)["sockets"] = descriptors
-				in["settings"].(map[string]any)["discovery"] = "push" // otherwise it polls at long intervals
+				in["settings"].(map[string]any)["discovery"] = "push" // otherwise the router polls at long intervals
 			}, endpointJSON("c1", cache.addr(), "in_service")))
 			if err != nil {
 				t.Fatal(err)
@@ -150,7 +152,7 @@
 				client.wantLine("value")
 				client.close()
 				if i == 10 {
-					cmd.conn.Close() // as the cache restarts
+					cmd.conn.Close() // simulates a restart of the cache
 					waitUntil(t, "the end of the connection", func() bool {
 						conns := make(chan int, 1)
 						srv.loop.post(func() { conns <- srv.loop.upstreamConns })
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -10,8 +10,8 @@
 	"marlstage/policy"
 )
 
-// TestRequestsWaitForOtherEvents checks that what has begun comes before requests that have not: the replies
-// of caches would else wait behind a crowd of requests, and come late.
+// TestRequestsWaitForOtherEvents checks that the event loop handles all other events before new requests.
+// Otherwise the replies of caches would wait behind many new requests and be late.
 func TestRequestsWaitForOtherEvents(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	blocked, resume := make(chan struct{}), make(chan struct{})
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestRequestsBeyondLimitAreRejected checks that requests beyond the limit of an overloaded router get their
-// rejection, in the order of the commands, and that other commands are not limited.
+// TestRequestsBeyondLimitAreRejected checks that requests beyond the limit of an overloaded router are rejected,
+// that the replies keep the order of the commands, and that other commands are not limited.
 func TestRequestsBeyondLimitAreRejected(t *testing.T) {
 	router, harness := startScriptedRouter(t)
 	client := dial(t, router.addr)
@@ -73,8 +73,8 @@
 	harness.waitForOpenRequests(1)
 }
 
-// TestRequestOfDisconnectedClientIsDropped checks that a request whose client's end overtakes it, as other events
-// come before requests, is not taken any more.
+// TestRequestOfDisconnectedClientIsDropped checks that a request is not accepted if the event loop has already
+// handled the disconnect of its client, which can overtake the request because other events come first.
 func TestRequestOfDisconnectedClientIsDropped(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
@@ -83,12 +83,12 @@
 		harness.loop.clientDisconnected(c)
 		harness.loop.acceptRequest(c, slot, resp.Command{}, harness.loop.now)
 		if len(harness.loop.requests) > 0 || len(slot.reply) != 1 || len(c.requests) > 0 {
-			t.Error("the request of a client that has gone is taken")
+			t.Error("the request of a disconnected client is accepted")
 		}
 	})
 }
 
-// delayReportRecorder is an engine that notes the reports of delays.
+// delayReportRecorder is an engine that records the reports of event loop delays.
 type delayReportRecorder struct {
 	scriptedEngine
 	reports chan *policy.DelayReport
@@ -101,7 +101,8 @@
 	return r.scriptedEngine.Handle(now, ev)
 }
 
-// TestDelayReports checks what the engine is told of how late requests are handled.
+// TestDelayReports checks the reports to the engine on the delay with which requests are handled: they are made
+// after requests, and without any while there is a limit.
 func TestDelayReports(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	recorder := &delayReportRecorder{reports: make(chan *policy.DelayReport, 100)}
@@ -117,18 +118,18 @@
 	})
 	report := receive(t, recorder.reports, "report")
 	if report.MinDelay != delay || report.Handled != 3 || report.Interval < delayReportInterval {
-		t.Errorf("report %+v, want 3 requests, one of them handled %d late", report, delay)
+		t.Errorf("report %+v, want 3 requests and a minimum delay of %d", report, delay)
 	}
 	harness.do(func() { harness.loop.perform(policy.LimitRequests{PerSecond: 1000}) })
 	harness.do(func() { harness.loop.delayReporter.noteRequest(harness.loop.now) })
 	receive(t, recorder.reports, "report")
-	if report = receive(t, recorder.reports, "report while there is a limit"); report.Handled != 0 || report.MinDelay != 0 {
-		t.Errorf("report %+v, want none taken", report)
+	if report = receive(t, recorder.reports, "report while requests are limited"); report.Handled != 0 || report.MinDelay != 0 {
+		t.Errorf("report %+v, want no requests", report)
 	}
 }
 
-// TestNoReportAfterStall checks that a report which a stall delays is put off, as it would take the requests
-// of that moment for the rule.
+// TestNoReportAfterStall checks that a report that is late because of a stall is postponed. The requests handled
+// right after a stall are not representative of the load.
 func TestNoReportAfterStall(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
@@ -137,7 +138,7 @@
 		loop.pendingEvents = nil
 		loop.delayReporter.report(loop.now - maxReportLateness - 1)
 		if len(loop.pendingEvents) > 0 {
-			t.Error("a report is made behind a stall")
+			t.Error("a report is made after a stall")
 		}
 		loop.delayReporter.report(loop.now - maxReportLateness)
 		if len(loop.pendingEvents) != 1 {
@@ -147,8 +148,8 @@
 	})
 }
 
-// TestRepliesAreWrittenTogether checks that replies that are there at the same time keep their order, and
-// that none is written into the memory of another one.
+// TestRepliesAreWrittenTogether checks that replies that are available at the same time are written in order, and
+// that merging them does not overwrite memory behind a reply that belongs to another one.
 func TestRepliesAreWrittenTogether(t *testing.T) {
 	router, harness := startScriptedRouter(t)
 	client := dial(t, router.addr)
@@ -164,7 +165,7 @@
 		for id, req := range harness.loop.requests {
 			reply := []byte("+" + req.externalID() + "\r\n")
 			if req.externalID() == "r0" {
-				reply = append(shared[:0], reply...) // with room behind it that is another's
+				reply = append(shared[:0], reply...) // its spare capacity belongs to another reply
 			}
 			harness.loop.finishRequest(id, requestServed, reply)
 		}
--- a/internal/router/arrival_test.go
+++ b/internal/router/arrival_test.go
@@ -10,12 +10,12 @@
 	"marlstage/policy"
 )
 
-// timeoutSlack is the time in microseconds by which the timeout that a cache is told may exceed what
+// timeoutSlack is the time in microseconds by which the timeout sent to a cache may exceed the time that
 // its client has left.
 const timeoutSlack = 150_000
 
-// TestDeadlineCountsFromArrival checks that the deadlines of commands which lay unhandled for long,
-// as their client reads no replies, count from when they arrived.
+// TestDeadlineCountsFromArrival checks that the deadlines of commands that stay unhandled for long because
+// their reply queue is full count from when they arrived.
 func TestDeadlineCountsFromArrival(t *testing.T) {
 	router, harness := startScriptedRouter(t)
 	client := dial(t, router.addr)
@@ -40,11 +40,11 @@
 	})
 }
 
-// requestTimeout is the timeout of the requests that getCommand makes.
+// requestTimeout returns the timeout of the requests made by getCommand, in microseconds.
 func (h *loopHarness) requestTimeout() policy.Time { return longTimeout.Microseconds() }
 
-// TestDeadlineCountsFromLastByte checks that the deadline of a command counts from its last byte, and
-// not from an earlier command or its own first byte.
+// TestDeadlineCountsFromLastByte checks that the deadline of a command counts from the arrival of its last
+// byte, not from that of earlier bytes or its own first byte.
 func TestDeadlineCountsFromLastByte(t *testing.T) {
 	for name, before := range map[string]string{
 		"idle":           "",
@@ -59,7 +59,7 @@
 			waitUntil(t, "the end of a long wait", func() bool { return harness.loop.clock() > late })
 			client.send(strings.TrimPrefix(getCommand("r1"), before))
 			req := harness.onlyRequest()
-			// A stall of the machine that runs the test makes the arrival uncertain by its length.
+			// If the machine that runs the test stalls, the arrival time is uncertain by the length of the stall.
 			stalled := harness.loop.statistics.longestStall.Load()
 			if early := late + harness.requestTimeout() - req.deadline; early > stalled {
 				t.Errorf("the deadline is %d us too early", early)
@@ -68,17 +68,17 @@
 	}
 }
 
-// TestArrivalTime checks what a reader concludes from its reads about when a command has arrived.
+// TestArrivalTime checks the estimate of a command's arrival time that a reader derives from its reads.
 func TestArrivalTime(t *testing.T) {
 	const gap = 10 * maxReadGap
 	for name, c := range map[string]struct {
 		reads func(*arrivalTime)
 		want  policy.Time
 	}{
-		"waited for":     {func(a *arrivalTime) { a.noteRead(gap, false, false) }, gap},
-		"lay unread":     {func(a *arrivalTime) { a.noteRead(gap, true, false) }, 0},
-		"lay for longer": {func(a *arrivalTime) { a.noteRead(gap, true, true); a.noteRead(gap+1, true, false) }, 0},
-		"new after lying": {func(a *arrivalTime) { a.noteRead(gap, true, true); a.noteRead(2*gap, false, false) },
+		"waited for":        {func(a *arrivalTime) { a.noteRead(gap, false, false) }, gap},
+		"unread before":     {func(a *arrivalTime) { a.noteRead(gap, true, false) }, 0},
+		"unread for longer": {func(a *arrivalTime) { a.noteRead(gap, true, true); a.noteRead(gap+1, true, false) }, 0},
+		"new after unread bytes": {func(a *arrivalTime) { a.noteRead(gap, true, true); a.noteRead(2*gap, false, false) },
 			2 * gap},
 		"after an interrupted read": {func(a *arrivalTime) { a.noteEmptyRead(gap); a.noteRead(gap+1, true, false) }, gap},
 	} {
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestArrivalOfBytesReadAhead checks that commands which were read ahead count as having arrived with
-// the first of them, and that those behind them count from the last read.
+// TestArrivalOfBytesReadAhead checks that commands that were read ahead count as having arrived at the
+// earliest time at which the first of them may have, and that commands behind them count from the last read.
 func TestArrivalOfBytesReadAhead(t *testing.T) {
 	const notBefore, readUntil = policy.Time(1_000_000), policy.Time(5_000_000)
 	reader := &commandReader{
@@ -105,13 +105,13 @@
 		t.Errorf("commands read ahead count from %d, want %d", reader.arrival.earliest, notBefore)
 	}
 	if reader.arrival.mayHaveWaited(readUntil + maxReadGap) {
-		t.Error("bytes behind them count as having waited since the first read")
+		t.Error("the bytes behind them count as having waited since the first read")
 	}
 }
 
-// TestDeadlineCountsWhileConnectionIsQueued checks that the deadline of a request counts from its
-// arrival if its connection waits at the listener while accept fails, and that it is no earlier, also
-// where the system does not tell when bytes arrived.
+// TestDeadlineCountsWhileConnectionIsQueued checks that the deadline of a request counts from its arrival,
+// and not from before it, if its connection is queued at the listener while accept fails. This holds also
+// if the system does not report the age of the data.
 func TestDeadlineCountsWhileConnectionIsQueued(t *testing.T) {
 	for name, ageUnknown := range map[string]bool{"data age known": false, "data age unknown": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/backlog_probe_test.go
+++ b/internal/router/backlog_probe_test.go
@@ -6,12 +6,13 @@
 	"marlstage/policy"
 )
 
-// TestBacklogProbe checks since when bytes count as arrived while a probe is on its way, and behind it.
+// TestBacklogProbe checks the earliest arrival time of bytes that are read while a probe is pending and after it
+// has returned.
 func TestBacklogProbe(t *testing.T) {
 	const (
 		start  policy.Time = 10_000_000
 		stall  policy.Time = 256_000
-		paused policy.Time = 38_000 // of a process that gets a small share of the processor, again and again
+		paused policy.Time = 38_000 // length of each pause of a process that gets a small share of the processor
 	)
 	sent := 0
 	m := newStallMonitor(start, func(policy.Time) {})
@@ -23,7 +24,7 @@
 	check := func(since policy.Time, probes int) {
 		t.Helper()
 		if got := m.earliestArrival(now); got != since {
-			t.Errorf("%d after the stall: arrived since %d, want %d", now-start-stall, got-start, since-start)
+			t.Errorf("%d after the stall: earliest arrival %d, want %d", now-start-stall, got-start, since-start)
 		}
 		if sent != probes {
 			t.Errorf("%d probes, want %d", sent, probes)
@@ -31,12 +32,12 @@
 	}
 	m.beat(now)
 	check(start, 1)
-	for range 5 { // the time that it takes to read what has arrived is no measure of a fixed length
+	for range 5 { // the time until everything that has arrived is read has no fixed length
 		now += paused
 		m.beat(now)
 		check(start, 1)
 	}
-	m.probeReturned(now) // so late that what came behind the probe has waited, too
+	m.probeReturned(now) // so late that bytes that arrived after the probe was sent have waited as well
 	check(start+stall, 2)
 	now += 1000
 	m.probeReturned(now)
@@ -51,7 +52,7 @@
 	check(now, 3)
 }
 
-// TestLostBacklogProbe checks that a probe that does not return does not make all requests count as old.
+// TestLostBacklogProbe checks that requests do not count as delayed for good because a probe does not return.
 func TestLostBacklogProbe(t *testing.T) {
 	m := newStallMonitor(0, func(policy.Time) {})
 	m.useProbe(func() bool { return true })
@@ -61,20 +62,20 @@
 		m.beat(now)
 	}
 	if got := m.earliestArrival(now); got != now {
-		t.Errorf("arrived since %d, want %d", got, now)
+		t.Errorf("earliest arrival %d, want %d", got, now)
 	}
 	m.probeReturned(now)
 	if got := m.earliestArrival(now); got != now {
-		t.Errorf("arrived since %d behind the lost probe, want %d", got, now)
+		t.Errorf("earliest arrival %d after the lost probe returned, want %d", got, now)
 	}
 }
 
-// TestProbeReturns checks that a probe returns once for each send.
+// TestProbeReturns checks that the probe returns once for each send.
 func TestProbeReturns(t *testing.T) {
 	returned := make(chan struct{}, 10)
 	p := newBacklogProbe(func() { returned <- struct{}{} })
 	if p == nil {
-		t.Fatal("no pipe")
+		t.Fatal("the probe could not create a pipe")
 	}
 	for range 3 {
 		if !p.send() {
@@ -84,9 +85,9 @@
 	}
 	p.close()
 	if p.send() {
-		t.Error("a probe is sent behind the end")
+		t.Error("a closed probe is sent")
 	}
 	if len(returned) > 0 {
-		t.Error("a probe returns twice")
+		t.Error("the probe returned twice for one send")
 	}
 }
--- a/internal/router/budgets_test.go
+++ b/internal/router/budgets_test.go
@@ -9,8 +9,8 @@
 	"marlstage/policy"
 )
 
-// TestUpstreamDescriptorLimit checks that an attempt waits for a descriptor if those for caches are
-// used up, and that an idle connection to another cache is closed to release one.
+// TestUpstreamDescriptorLimit checks that an attempt waits for a descriptor if those for connections to
+// caches are used up, and that an idle connection to another cache is closed to release one.
 func TestUpstreamDescriptorLimit(t *testing.T) {
 	cache, other := newFakeCache(t), newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -51,13 +51,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv.loop.engine = &scriptedEngine{} // does not reply
+	srv.loop.engine = &scriptedEngine{} // sends no replies
 	router := startServer(t, srv)
 	pending := func(want int64) func() bool {
 		return func() bool { return pendingReplies(srv) == want }
 	}
-	// Both clients have to have a command in flight before they send more. Otherwise all commands of
-	// one could be rejected, and none of its replies would be pending.
+	// Each client must have a command in flight before they send more. Otherwise all commands of one
+	// could be rejected, and none of its replies would be pending.
 	clients := []*testClient{dial(t, router.addr), dial(t, router.addr)}
 	for _, client := range clients {
 		client.send(getCommand("r"))
@@ -74,7 +74,7 @@
 	}
 }
 
-// pendingReplies is the number of commands of all clients whose replies are not written.
+// pendingReplies returns the number of commands of all clients whose replies have not been written.
 func pendingReplies(srv *Server) int64 {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -85,8 +85,8 @@
 	return pending
 }
 
-// TestShortRepliesPassWithFullMemoryBudget checks that replies pass which take no more than the
-// substitute for those that do not fit.
+// TestShortRepliesPassWithFullMemoryBudget checks that a reply is not replaced for lack of memory if it is
+// no longer than the reply that would replace it.
 func TestShortRepliesPassWithFullMemoryBudget(t *testing.T) {
 	for _, reply := range []string{resp.BusyReply, "-BUSY 1500\r\n", "+PONG\r\n"} {
 		slot := newReplySlot(newMemoryBudget(0))
--- a/internal/router/client_faults_test.go
+++ b/internal/router/client_faults_test.go
@@ -10,10 +10,10 @@
 	"marlstage/internal/resp"
 )
 
-// System calls on a client's connection that fail for a moment, or transfer less than they were asked
-// to, lose nothing.
+// These tests check that no data is lost if system calls on a client connection fail temporarily or transfer
+// fewer bytes than requested.
 
-// repeatFault lists a fault several times.
+// repeatFault returns a list that contains a fault count times.
 func repeatFault(f fault, count int) (faults []fault) {
 	for range count {
 		faults = append(faults, f)
@@ -21,7 +21,7 @@
 	return faults
 }
 
-// transientFaults are what may happen to reads and writes of a connection that is in order.
+// transientFaults are faults that reads and writes of an intact connection may have.
 var transientFaults = map[string][]fault{
 	"ENOBUFS":            repeatFault(fault{err: unix.ENOBUFS}, 3),
 	"ENOMEM":             repeatFault(fault{err: unix.ENOMEM}, 3),
@@ -31,7 +31,7 @@
 	"many interrupts":    repeatFault(fault{err: unix.EINTR}, 500),
 }
 
-// startFaultyRouter runs a router whose client is connected and whose system calls may be made to fail.
+// startFaultyRouter runs a router on a faulty system, and connects a client to it.
 func startFaultyRouter(t *testing.T) (*runningRouter, *faultySystem, *testClient) {
 	t.Helper()
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
@@ -45,7 +45,7 @@
 	return router, system, client
 }
 
-// TestTransientFaultsOfClientReads checks that a command is served although reads of it fail for a moment.
+// TestTransientFaultsOfClientReads checks that a command is answered although reads of it fail temporarily.
 func TestTransientFaultsOfClientReads(t *testing.T) {
 	for name, faults := range transientFaults {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestTransientFaultsOfClientWrites checks that a reply arrives whole although writes of it fail for a moment.
+// TestTransientFaultsOfClientWrites checks that a reply arrives complete although writes of it fail temporarily.
 func TestTransientFaultsOfClientWrites(t *testing.T) {
 	for name, faults := range transientFaults {
 		t.Run(name, func(t *testing.T) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestWriteRefusedWithRoomLeft checks that a write is repeated which Linux refuses for want of memory
-// while the send buffer has room. No event tells when it has memory again.
+// TestWriteRefusedWithRoomLeft checks that a write is repeated if Linux refuses it for lack of memory although
+// the send buffer has space. No event reports that memory is available again.
 func TestWriteRefusedWithRoomLeft(t *testing.T) {
 	_, system, client := startFaultyRouter(t)
 	system.injectError(callWrite, unix.EAGAIN, 2)
@@ -81,7 +81,7 @@
 	client.wantLine("+PONG")
 }
 
-// TestBrokenClientWrites checks that a client whose connection is broken is taken for gone.
+// TestBrokenClientWrites checks that a client counts as disconnected if a write to it fails for good.
 func TestBrokenClientWrites(t *testing.T) {
 	for _, failure := range []error{unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT, unix.EHOSTUNREACH} {
 		t.Run(failure.Error(), func(t *testing.T) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestLastingWriteFault checks that a write which keeps failing neither spins nor outlasts its time.
+// TestLastingWriteFault checks that a write that keeps failing neither spins nor continues after its timeout.
 func TestLastingWriteFault(t *testing.T) {
 	router, system, client := startFaultyRouter(t)
 	system.setDecide(func(call systemCall, _ int) *fault {
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -9,6 +9,7 @@
 	"marlstage/internal/resp"
 )
 
+// TestServesRequest checks that a request is forwarded to a cache and its reply to the client.
 func TestServesRequest(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -24,8 +25,8 @@
 	client.wantLine("value")
 }
 
-// TestRepliesInCommandOrder checks that a quick reply waits for those before it on its connection,
-// and does not wait for replies on others.
+// TestRepliesInCommandOrder checks that the replies on a connection are sent in the order of its commands,
+// although a later one is available first, and that replies on other connections do not wait.
 func TestRepliesInCommandOrder(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -47,8 +48,8 @@
 	client.wantLine("+PONG")
 }
 
-// TestPipelinedCommandsAreAcceptedAtOnce checks that commands are read while earlier ones are in
-// flight. A command that is left unread is answered too late, since its client waits already.
+// TestPipelinedCommandsAreAcceptedAtOnce checks that commands are read while earlier ones are in flight.
+// A command that stays unread would be answered too late, since its client is already waiting.
 func TestPipelinedCommandsAreAcceptedAtOnce(t *testing.T) {
 	srv, err := New(testConfig(t, silentDiscovery(t), nil))
 	if err != nil {
@@ -65,7 +66,7 @@
 	}
 }
 
-// TestClientDisconnectCancelsAttempt checks that an attempt is cancelled for which no client waits.
+// TestClientDisconnectCancelsAttempt checks that an attempt is cancelled when its client disconnects.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -76,7 +77,8 @@
 	receive(t, cache.closed, "end of the attempt's connection")
 }
 
-// TestSlowReaderDoesNotBlockOthers has one client read nothing of many large replies.
+// TestSlowReaderDoesNotBlockOthers checks that a client that does not read many large replies does not
+// delay the replies to another client.
 func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), func(in map[string]any) {
@@ -109,6 +111,8 @@
 	}
 }
 
+// TestPingBeforeAnyEndpointIsKnown checks that a router without caches reports that it is loading and
+// rejects requests.
 func TestPingBeforeAnyEndpointIsKnown(t *testing.T) {
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil))
 	client := dial(t, router.addr)
@@ -122,8 +126,8 @@
 	}
 }
 
-// TestMalformedCommands checks that malformed commands are answered with an error and never
-// forwarded. If the next command cannot be found, the connection ends.
+// TestMalformedCommands checks that malformed commands are answered with an error and never forwarded,
+// and that the connection ends if the start of the next command is unknown.
 func TestMalformedCommands(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -174,8 +178,8 @@
 	}
 }
 
-// TestSilentPeersTimeOut checks that a peer has to send its first command, and the rest of any
-// partial one, in time. A connection that has had a command may be idle.
+// TestSilentPeersTimeOut checks that the connection of a peer ends if the first command, or the rest of a
+// partial command, does not arrive in time. A connection that has carried a command may be idle.
 func TestSilentPeersTimeOut(t *testing.T) {
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	if err != nil {
@@ -183,7 +187,7 @@
 	}
 	srv.commandTimeout = time.Second
 	idle := dial(t, srv.listener.Addr().String())
-	idle.send(encodeCommand("ECHO")) // received before the router waits for it
+	idle.send(encodeCommand("ECHO")) // arrives before the router starts, so that it is not late
 	router := startServer(t, srv)
 	idle.wantLine("-ERR unknown command")
 	silent := map[string]*testClient{}
@@ -199,7 +203,7 @@
 		}
 		client.wantClosed()
 	}
-	idle.send(encodeCommand("PING") + "*4\r\n$5\r\nC.G") // it has been idle for longer than the others
+	idle.send(encodeCommand("PING") + "*4\r\n$5\r\nC.G") // idle for longer than commandTimeout
 	idle.wantLine("+PONG")
 	if got := idle.readLine(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("reply %q", got)
--- a/internal/router/close_crossing_test.go
+++ b/internal/router/close_crossing_test.go
@@ -11,10 +11,10 @@
 	"marlstage/internal/resp"
 )
 
-// Requests that cross the router's close of their connection: each is read and answered, or it stays
-// unread, so that its client may send it once more.
+// These tests have a request arrive while the router closes its connection. The router has to read and answer
+// it or leave it unread, so that the client may safely send it again.
 
-// waitForDelivery waits until the router's machine has acknowledged all that was sent.
+// waitForDelivery waits until the router's host has acknowledged everything that was sent.
 func (c *testClient) waitForDelivery() {
 	c.t.Helper()
 	raw, err := c.nc.SyscallConn()
@@ -41,13 +41,13 @@
 	})
 }
 
-// stallWithoutBytes is a fault of a read or peek which finds nothing and returns late.
+// stallWithoutBytes returns a fault of a read or peek that finds no bytes and returns late.
 func stallWithoutBytes() fault {
 	return fault{err: unix.EAGAIN, begun: make(chan struct{}), resume: make(chan struct{})}
 }
 
-// TestRequestAtFirstCommandTimeout has a request arrive just as the time for it ends: after the last
-// look at the socket, and before its reader learns of the timeout.
+// TestRequestAtFirstCommandTimeout checks that a request is served that arrives at the timeout for the first
+// command: after the last read from the socket, and before the reader learns of the timeout.
 func TestRequestAtFirstCommandTimeout(t *testing.T) {
 	request := getCommand("r1")
 	for name, early := range map[string]string{
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestNothingIsReadAfterClose has a request arrive after the router has ended its side of the
-// connection.
+// TestNothingIsReadAfterClose checks that a request stays unread that arrives after the router has closed its
+// side of the connection.
 func TestNothingIsReadAfterClose(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *runningRouter, *testClient){
 		"drain": func(t *testing.T, r *runningRouter, _ *testClient) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestRequestCrossesCloseOfNewConnection has a request arrive between the last look at a connection
-// that was never answered and its close.
+// TestRequestCrossesCloseOfNewConnection checks that a request stays unread that arrives between the last check
+// of a connection that has carried no command and its close.
 func TestRequestCrossesCloseOfNewConnection(t *testing.T) {
 	router, system, client := startFaultyRouter(t)
 	finalChecks := map[systemCall]fault{callPeek: stallWithoutBytes(), callRead: stallWithoutBytes()}
@@ -137,7 +137,7 @@
 	case <-finalChecks[callPeek].begun:
 	case <-finalChecks[callRead].begun:
 	case <-time.After(testTimeout):
-		t.Fatal("the reader does not look at the connection")
+		t.Fatal("the reader does not check the connection")
 	}
 	client.send(getCommand("r1"))
 	client.waitForDelivery()
@@ -148,17 +148,17 @@
 	client.close()
 	router.waitForNoClients(t)
 	if n := system.bytesRead.Load(); n > 0 {
-		t.Errorf("%d bytes of a request were read that was not answered", n)
+		t.Errorf("%d bytes were read of a request that was not answered", n)
 	}
 }
 
-// rubbishBeyondDiscardLimit is a protocol error and more bytes behind it than are discarded.
+// rubbishBeyondDiscardLimit returns a protocol error followed by more bytes than the router discards.
 func rubbishBeyondDiscardLimit() string {
 	return "*x\r\n" + strings.Repeat("x", maxDiscarded+discardBufferSize)
 }
 
-// TestReplyBeforeRubbish checks that bytes which are not even discarded do not reset the connection
-// before the reply to the request in front of them has been received.
+// TestReplyBeforeRubbish checks that more bytes than the router discards do not reset the connection before the
+// client has received the reply to the request in front of them.
 func TestReplyBeforeRubbish(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -171,7 +171,7 @@
 	value := strings.Repeat("v", resp.MaxValueSize)
 	receive(t, cache.commands, "command").reply(t, "*3\r\n$65536\r\n"+value+"\r\n$3\r\nhit\r\n$-1\r\n")
 	client.waitForUnreadReply()
-	client.send(rubbishBeyondDiscardLimit()[:4*discardBufferSize]) // while a reply is due, what comes before is discarded
+	client.send(rubbishBeyondDiscardLimit()[:4*discardBufferSize]) // those that arrived while the reply was pending have been discarded
 	client.waitForDelivery()
 	client.wantLine(value)
 	if got := client.readLine(); !strings.HasPrefix(got, "-ERR ") {
@@ -179,7 +179,7 @@
 	}
 }
 
-// waitForUnreadReply waits until part of a reply has arrived, and leaves it unread.
+// waitForUnreadReply waits until part of a reply has arrived and leaves it unread.
 func (c *testClient) waitForUnreadReply() {
 	c.t.Helper()
 	if _, err := c.reader.Peek(1); err != nil {
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestUnreadReplyOutlastsLinger checks that bytes that cross the close do not take a reply that is
-// still on its way when the time to read it is over.
+// TestUnreadReplyOutlastsLinger checks that bytes that arrive during the close do not destroy a reply that the
+// client has not received when the linger time ends. Closing the connection then would reset it.
 func TestUnreadReplyOutlastsLinger(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
--- a/internal/router/disconnect_while_stalled_test.go
+++ b/internal/router/disconnect_while_stalled_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestClientDisconnectsWhileStalled has the client disconnect while the router is stalled between its looks
-// at the clock and at the connection to the cache and the write of an attempt's first byte.
+// TestClientDisconnectsWhileStalled checks that nothing is sent if the client disconnects while the router is
+// stalled after it has checked the time and the connection to the cache, and before it writes the first byte of the
+// attempt.
 func TestClientDisconnectsWhileStalled(t *testing.T) {
 	for how, disconnect := range disconnects {
 		t.Run(how, func(t *testing.T) {
@@ -16,7 +17,7 @@
 				defer close(performed)
 				d.do(func() { d.perform(req, "c1") })
 			}()
-			receive(t, stalled.begun, "look at the connection to the cache")
+			receive(t, stalled.begun, "check of the connection to the cache")
 			d.disconnect(client, disconnect)
 			close(stalled.resume)
 			receive(t, performed, "end of the attempt's start")
--- a/internal/router/event_loop_test.go
+++ b/internal/router/event_loop_test.go
@@ -15,7 +15,7 @@
 	return len(b), nil
 }
 
-// TestBlockedLogDoesNotBlockEventLoop checks that the loop goes on if the log cannot be written.
+// TestBlockedLogDoesNotBlockEventLoop checks that the event loop does not wait for a log that blocks.
 func TestBlockedLogDoesNotBlockEventLoop(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	writer := blockedWriter{make(chan struct{})}
--- a/internal/router/flood_test.go
+++ b/internal/router/flood_test.go
@@ -14,21 +14,21 @@
 
 const (
 	floodPeers      = 20
-	floodChunkSize  = 64 << 10    // bytes sent with one write, at most
-	floodSendWindow = time.Second // for a peer to send before it disconnects
+	floodChunkSize  = 64 << 10    // maximum number of bytes sent with one write
+	floodSendWindow = time.Second // time after which a peer that disconnects stops sending
 )
 
-// flood is what each of many peers sends to a router without reading.
+// flood describes what each of many peers sends to a router without reading replies.
 type flood struct {
-	pattern        string // sent repeatedly, ...
-	bytes          int    // ... until so many bytes are sent
+	pattern        string // sent repeatedly
+	bytes          int    // number of bytes after which the peer stops sending
 	commandTimeout time.Duration
-	disconnects    bool // the peer disconnects once it has sent all, or has sent for a while
+	disconnects    bool // the peer disconnects once it has sent all bytes or floodSendWindow is over
 }
 
-// TestFloodingPeers checks that peers which send a lot at once, partial commands or what is no command
-// get a reply or the end of their connection, also if they disconnect at once. Meanwhile others are
-// answered, and afterwards nothing is left in the budgets.
+// TestFloodingPeers checks that peers that send a lot of bytes at once, partial commands or invalid commands
+// get a reply or the end of their connection. Other clients are answered in the meantime, and all memory and
+// descriptors are released afterwards, also if the peers disconnect without reading.
 func TestFloodingPeers(t *testing.T) {
 	const unlimited = 2 * testTimeout
 	ping := encodeCommand("PING")
@@ -77,10 +77,10 @@
 			sending.Wait()
 			other.close()
 			waitUntil(t, "the end of all connections", func() bool {
-				return srv.descriptors.clientConns.Load() <= 1 // the accept loop has taken that of the next connection
+				return srv.descriptors.clientConns.Load() <= 1 // the accept loop holds one for the next connection
 			})
 			if inUse := srv.memory.inUse.Load(); inUse != 0 {
-				t.Errorf("%d bytes are still counted", inUse)
+				t.Errorf("%d bytes are still charged to the memory budget", inUse)
 			}
 			(&loopHarness{t, srv.loop, nil}).waitForOpenRequests(0)
 			if strings.Contains(name, "rubbish") && len(cache.commands) > 0 {
@@ -94,7 +94,7 @@
 func (f *flood) send(peer *testClient) {
 	if f.disconnects {
 		defer peer.close()
-		// The peer does not read, so the router may stop reading, too.
+		// The peer does not read, so the router may stop reading as well.
 		if err := peer.nc.SetWriteDeadline(time.Now().Add(floodSendWindow)); err != nil {
 			peer.t.Error(err)
 		}
@@ -107,7 +107,7 @@
 	}
 }
 
-// wantReplyOrClose checks that the router sends an error or PONG, or ends the connection.
+// wantReplyOrClose checks that the router sends an error or PONG, or closes the connection.
 func (c *testClient) wantReplyOrClose() {
 	c.t.Helper()
 	line, err := c.reader.ReadString('\n')
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -21,11 +21,11 @@
 	"marlstage/policy"
 )
 
-// testTimeout is how long a test waits for an event that has to happen. It is generous, since only a
-// failing test waits for that long.
+// testTimeout is how long a test waits for an event that has to happen. It is long because only a
+// failing test waits for all of it.
 const testTimeout = 30 * time.Second
 
-// testSettings has timeouts so long that only tests which shorten them meet them.
+// testSettings has timeouts that no test reaches unless it shortens them.
 const testSettings = `{"instances":1,"discovery":"subscribe","weights":"none",
  "categories":[{"name":"read","effect":"read_like","dedupScope":"all","aim":5000000,"hardLimit":20000000,"keyTtl":5000000,"worth":1,"lateWorth":0.5},
   {"name":"put","effect":"idempotency_key","dedupScope":"all","aim":5000000,"hardLimit":20000000,"keyTtl":5000000,"worth":1,"lateWorth":0.5}],
@@ -33,32 +33,33 @@
  "rules":{"askEvery":600000000,"cold":23000000,"drainGrace":1000000,"fall":3000000,"startCapacity":0.16},
  "penalties":{"probe":0.01,"connection":0.03,"handshake":0.03}}`
 
-// receive returns the next value of a channel; what names the value in the failure.
+// receive returns the next value of a channel. what names the value in the message of a failure.
 func receive[T any](t *testing.T, c <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s came", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// fakeCache is a cache server on loopback. It hands each complete command to the test, which
-// replies.
+// fakeCache is a cache server on loopback. It passes each complete command to the test, which sends
+// the reply.
 type fakeCache struct {
 	ln       net.Listener
 	commands chan fakeCommand
 	closed   chan struct{} // receives once for each connection that the router has closed
 }
 
-// fakeCommand is a command that a fakeCache received, and its connection.
+// fakeCommand is a command that a fakeCache received, and the connection that it arrived on.
 type fakeCommand struct {
 	args []string
 	conn net.Conn
 }
 
+// reply sends a reply on the command's connection.
 func (c fakeCommand) reply(t *testing.T, wire string) {
 	t.Helper()
 	if _, err := io.WriteString(c.conn, wire); err != nil {
@@ -66,7 +67,7 @@
 	}
 }
 
-// Replies of a cache that serves a request.
+// Replies of a cache that serves a request. They differ in the value.
 const (
 	servedReply      = "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 	otherServedReply = "*3\r\n$7\r\nanother\r\n$3\r\nhit\r\n$-1\r\n"
@@ -74,9 +75,10 @@
 
 // tryReply sends a reply on a connection that the router may have closed.
 func (c fakeCommand) tryReply(wire string) {
-	_, _ = io.WriteString(c.conn, wire) // the test shows whether the reply was needed
+	_, _ = io.WriteString(c.conn, wire) // a test that needs the reply fails without it
 }
 
+// newFakeCache starts a cache server on a free port.
 func newFakeCache(t *testing.T) *fakeCache {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,7 +88,7 @@
 	return serveFakeCache(t, ln)
 }
 
-// serveFakeCache runs a cache server on a listener of the test's own.
+// serveFakeCache runs a cache server on a listener that the test provides.
 func serveFakeCache(t *testing.T, ln net.Listener) *fakeCache {
 	t.Helper()
 	c := &fakeCache{ln: ln, commands: make(chan fakeCommand, 1000), closed: make(chan struct{}, 1000)}
@@ -104,7 +106,7 @@
 	return c
 }
 
-// readCommands hands the commands of a connection to the test until the connection ends.
+// readCommands passes the commands of a connection to the test until the connection ends.
 func (c *fakeCache) readCommands(nc net.Conn) {
 	reader := redcon.NewReader(nc)
 	for {
@@ -139,18 +141,19 @@
 
 func (c *fakeCache) addr() string { return c.ln.Addr().String() }
 
-// endpointJSON is an endpoint in discovery's form.
+// endpointJSON returns an endpoint in the JSON form of the discovery service.
 func endpointJSON(name, addr, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","group":1,"status":%q,"weight":1,"since_ms":0}`,
 		name, addr, status)
 }
 
-// endpointListJSON is an endpoint list in discovery's form.
+// endpointListJSON returns an endpoint list in the JSON form of the discovery service.
 func endpointListJSON(index int, snapshot bool, endpoints ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, index, snapshot, strings.Join(endpoints, ","))
 }
 
-// serveHTTP serves calls until the test is over, which closes done, and returns its address.
+// serveHTTP starts an HTTP server that runs until the test is over, and returns its address. The end of
+// the test closes done.
 func serveHTTP(t *testing.T, handle func(w http.ResponseWriter, r *http.Request, done <-chan struct{})) string {
 	t.Helper()
 	done := make(chan struct{})
@@ -163,7 +166,8 @@
 	return srv.Listener.Addr().String()
 }
 
-// silentDiscovery leaves every watch open until the test is over.
+// silentDiscovery starts a discovery service that leaves every watch open until the test is over. It
+// returns the address.
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	return serveHTTP(t, func(_ http.ResponseWriter, r *http.Request, done <-chan struct{}) {
@@ -171,7 +175,7 @@
 	})
 }
 
-// waitForCallEnd waits until the caller gives up or the test is over.
+// waitForCallEnd waits until the caller cancels an HTTP call or the test is over.
 func waitForCallEnd(r *http.Request, done <-chan struct{}) {
 	select {
 	case <-done:
@@ -179,7 +183,8 @@
 	}
 }
 
-// testConfig makes a configuration that knows the given endpoints. edit may change its JSON form.
+// testConfig returns a configuration that knows the given endpoints. edit, if not nil, may change its
+// JSON form.
 func testConfig(t *testing.T, discovery string, edit func(map[string]any), endpoints ...string) *config.Config {
 	t.Helper()
 	var settings map[string]any
@@ -209,7 +214,7 @@
 	return cfg
 }
 
-// withMinSockets has a configuration allow as few descriptors as it may.
+// withMinSockets sets the limit of descriptors to the lowest value that is allowed.
 func withMinSockets(in map[string]any) {
 	in["limits"].(map[string]any)["sockets"] = minSockets
 }
@@ -222,7 +227,7 @@
 	ended chan error         // receives the result of Run
 }
 
-// startServer runs a server until the test is over.
+// startServer runs a server, which may have been modified by the test, until the test is over.
 func startServer(t *testing.T, srv *Server) *runningRouter {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -261,6 +266,7 @@
 	reader *bufio.Reader
 }
 
+// dial connects a client to a router.
 func dial(t *testing.T, addr string) *testClient {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -274,6 +280,7 @@
 	return &testClient{t, nc.(*net.TCPConn), bufio.NewReader(nc)}
 }
 
+// send writes bytes to the router.
 func (c *testClient) send(wire string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.nc, wire); err != nil {
@@ -281,10 +288,10 @@
 	}
 }
 
-// close closes the connection, which may be closed already.
+// close closes the connection. The router may have closed it before.
 func (c *testClient) close() { _ = c.nc.Close() }
 
-// closeWrite ends the client's side of the connection.
+// closeWrite closes the client's sending side of the connection.
 func (c *testClient) closeWrite() {
 	if err := c.nc.CloseWrite(); err != nil {
 		c.t.Errorf("closing the client's side: %v", err)
@@ -299,7 +306,7 @@
 	c.close()
 }
 
-// encodeCommand is a command as clients send it.
+// encodeCommand returns a command in the form in which clients send it.
 func encodeCommand(args ...string) string {
 	b := redcon.AppendArray(nil, len(args))
 	for _, arg := range args {
@@ -308,10 +315,10 @@
 	return string(b)
 }
 
-// getCommand is a request with the given id.
+// getCommand returns the command of a request with the given id.
 func getCommand(id string) string { return encodeCommand("C.GET", "k1", id, "c=read,d=20000") }
 
-// readLine reads a line of a reply. Of a bulk string it returns the content.
+// readLine reads a line of a reply. For a bulk string it returns the content.
 func (c *testClient) readLine() string {
 	c.t.Helper()
 	s, err := c.reader.ReadString('\n')
@@ -332,7 +339,7 @@
 	}
 }
 
-// wantClosed checks that the router ends the connection without sending anything else.
+// wantClosed checks that the router closes the connection without sending anything else.
 func (c *testClient) wantClosed() {
 	c.t.Helper()
 	if b, err := c.reader.ReadByte(); err == nil {
@@ -340,8 +347,8 @@
 	}
 }
 
-// scriptedEngine stands in for the policy engine. It records the outcomes of attempts, and tests
-// perform the actions themselves.
+// scriptedEngine replaces the policy engine. It records the outcomes of attempts and returns no actions;
+// tests perform the actions themselves.
 type scriptedEngine struct{ outcomes chan *policy.AttemptDone }
 
 func (s *scriptedEngine) Handle(_ policy.Time, ev policy.Event) []policy.Action {
@@ -359,7 +366,7 @@
 	outcomes chan *policy.AttemptDone
 }
 
-// newLoopHarness runs a loop whose cache has the given address until the test is over.
+// newLoopHarness runs an event loop until the test is over. Its cache has the given address.
 func newLoopHarness(t *testing.T, addr string, edit func(*config.Config)) *loopHarness {
 	t.Helper()
 	cfg := testConfig(t, "127.0.0.1:1", nil, endpointJSON("c1", addr, "in_service"))
@@ -392,7 +399,7 @@
 	receive(h.t, ran, "end of a function run by the loop")
 }
 
-// newRequest has the loop accept a request, which writes the value if there is one.
+// newRequest has the loop accept a request: C.SET if a value is given, else C.GET.
 func (h *loopHarness) newRequest(value []byte) *request {
 	h.t.Helper()
 	args := [][]byte{[]byte("C.GET"), []byte("k1"), []byte("r1"), []byte("c=read,d=20000")}
@@ -407,7 +414,7 @@
 	return h.acceptCommand(cmd)
 }
 
-// acceptCommand has the loop accept a command as a request.
+// acceptCommand has the loop accept a command of a client and returns the request.
 func (h *loopHarness) acceptCommand(cmd resp.Command) *request {
 	h.t.Helper()
 	var req *request
@@ -419,7 +426,7 @@
 	return req
 }
 
-// sendAttempt starts an attempt with the given timeout.
+// sendAttempt has the loop send an attempt to the cache with the given timeout.
 func (h *loopHarness) sendAttempt(req *request, timeout time.Duration) {
 	h.t.Helper()
 	h.do(func() {
@@ -427,7 +434,7 @@
 	})
 }
 
-// serveRequest has a request served by the cache and returns the command that the cache received.
+// serveRequest has the cache serve a new request and returns the command that the cache received.
 func (h *loopHarness) serveRequest(cache *fakeCache) fakeCommand {
 	h.t.Helper()
 	h.sendAttempt(h.newRequest(nil), longTimeout)
@@ -447,7 +454,7 @@
 	return outcome
 }
 
-// waitUntil yields until the condition holds.
+// waitUntil waits until the condition holds, yielding the processor between checks.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
@@ -457,7 +464,8 @@
 	}
 }
 
-// startScriptedRouter runs a router with a scripted engine, and so without replies to requests.
+// startScriptedRouter runs a router with a scripted engine. Requests get no replies unless the test
+// performs the actions.
 func startScriptedRouter(t *testing.T, endpoints ...string) (*runningRouter, *loopHarness) {
 	t.Helper()
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpoints...))
@@ -469,7 +477,7 @@
 	return startServer(t, srv), &loopHarness{t, srv.loop, engine.outcomes}
 }
 
-// openRequests is the number of requests without a final reply.
+// openRequests returns the number of requests without a final reply.
 func (h *loopHarness) openRequests() (open int) {
 	h.t.Helper()
 	h.do(func() { open = h.loop.openRequests })
--- a/internal/router/hidden_disconnect_test.go
+++ b/internal/router/hidden_disconnect_test.go
@@ -7,11 +7,12 @@
 	"marlstage/policy"
 )
 
-// A client's end can't be seen behind bytes that its machine could not deliver yet, or that nobody reads.
+// These tests cover disconnects of a client that the router can't detect: those behind bytes that the client's host
+// could not deliver yet because the receive window is full, and those behind bytes that the router will not read.
 
-// TestAttemptWaitsForHiddenDisconnect checks that an attempt waits while so much of its client is unread that the
-// client's end may be hidden behind that, that attempts for others do not wait for it, and that it starts
-// once the client has been read.
+// TestAttemptWaitsForHiddenDisconnect checks that an attempt waits while its client has so many unread bytes that
+// they may hide a disconnect, that attempts for other clients do not wait for it, and that it starts once these
+// bytes have been read.
 func TestAttemptWaitsForHiddenDisconnect(t *testing.T) {
 	d := newDisconnectTest(t, 2)
 	client := d.dial()
@@ -27,7 +28,7 @@
 	d.do(func() { d.perform(req, "c1") })
 	d.harness.sendAttempt(d.harness.newRequest(nil), longTimeout)
 	if other := receive(t, d.cache.commands, "command"); other.args[2] == "hidden" {
-		t.Error("an attempt started although the client's end may be hidden")
+		t.Error("an attempt started although a disconnect of its client may be hidden")
 	}
 	close(reading.resume)
 	if cmd := receive(t, d.cache.commands, "command"); cmd.args[2] != "hidden" {
@@ -35,8 +36,8 @@
 	}
 }
 
-// TestAttemptIsNotSentWithUnreadBytes checks that no attempt starts for a client that sends on where the
-// router reads no more, so that its end can't be seen.
+// TestAttemptIsNotSentWithUnreadBytes checks that no attempt starts for a client that keeps sending after the router
+// has stopped reading from it, so that its disconnect can't be detected.
 func TestAttemptIsNotSentWithUnreadBytes(t *testing.T) {
 	d := newDisconnectTest(t, 1)
 	client := d.dial()
--- a/internal/router/idle_close_test.go
+++ b/internal/router/idle_close_test.go
@@ -10,7 +10,8 @@
 	"marlstage/internal/resp"
 )
 
-// waitForRouterClose waits for the end of the connection and leaves what arrived before it unread.
+// waitForRouterClose waits until the router has closed its side of the connection and leaves what arrived before
+// that unread.
 func (c *testClient) waitForRouterClose() {
 	c.t.Helper()
 	raw, err := c.nc.SyscallConn()
@@ -27,7 +28,8 @@
 	})
 }
 
-// withIdleClient waits for a client connection that has had a command and owes no reply, and calls f with it.
+// withIdleClient waits for a client connection that has carried a command and has no pending reply, and calls f
+// with it.
 func withIdleClient(t *testing.T, router *runningRouter, f func(*clientConn)) {
 	t.Helper()
 	waitUntil(t, "an idle connection", func() bool {
@@ -43,8 +45,9 @@
 	})
 }
 
-// TestRequestCrossingIdleClose: a request that arrives as its idle connection is closed, for the shutdown or for a
-// descriptor, is not forwarded, and the reply before it, which the client has not read yet, is not lost.
+// TestRequestCrossingIdleClose checks that a request that arrives while its idle connection is closed, for a drain
+// or to release a descriptor, is not forwarded, and that the previous reply, which the client has not read yet, is
+// not lost.
 func TestRequestCrossingIdleClose(t *testing.T) {
 	for name, closeIdle := range map[string]func(*clientConn){
 		"drain": func(c *clientConn) { c.closeWhenIdle() },
@@ -62,7 +65,7 @@
 			withIdleClient(t, router, closeIdle)
 			client.waitForRouterClose()
 			client.send(getCommand("r2"))
-			client.send(getCommand("r3")[:20]) // on a connection that has not been reset
+			client.send(getCommand("r3")[:20]) // sending does not fail: the connection has not been reset
 			client.wantLine("value")
 			if _, err := client.reader.ReadByte(); err != io.EOF {
 				t.Errorf("the connection ended with %v", err)
@@ -70,14 +73,14 @@
 			next := dial(t, router.addr)
 			next.send(getCommand("r4"))
 			if cmd := receive(t, cache.commands, "command"); cmd.args[2] != "r4" {
-				t.Errorf("what crossed the close was forwarded: %q", cmd.args)
+				t.Errorf("a command that arrived during the close was forwarded: %q", cmd.args)
 			}
 		})
 	}
 }
 
-// TestBytesAfterCloseKeepUnreadReply: the client has hardly begun to read a large reply, long after the router has written it.
-// Bytes that arrive then must not turn the close into a reset, which would lose the rest of the reply.
+// TestBytesAfterCloseKeepUnreadReply checks that bytes that arrive after the close do not reset the connection while
+// the client has read only a small part of a large reply that was written long ago. A reset would lose the rest.
 func TestBytesAfterCloseKeepUnreadReply(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -89,7 +92,7 @@
 	value := strings.Repeat("v", resp.MaxValueSize)
 	receive(t, cache.commands, "command").reply(t, "*3\r\n$65536\r\n"+value+"\r\n$3\r\nhit\r\n$-1\r\n")
 	withIdleClient(t, router, func(c *clientConn) {
-		c.lastReplyAt.Add(-2 * lingerTime.Microseconds()) // as though it had been idle for so long
+		c.lastReplyAt.Add(-2 * lingerTime.Microseconds()) // simulates an idle time of that length
 		c.closeWhenIdle()
 	})
 	waitUntil(t, "a lingering close", func() bool {
--- a/internal/router/idle_conn_test.go
+++ b/internal/router/idle_conn_test.go
@@ -8,7 +8,8 @@
 	"marlstage/policy"
 )
 
-// newHarnessWithIdleConn returns a rig with an idle connection that has settled, and the command that it carried.
+// newHarnessWithIdleConn returns a harness with an idle connection that has settled, its cache, and the command that
+// the connection carried.
 func newHarnessWithIdleConn(t *testing.T) (*loopHarness, *fakeCache, fakeCommand) {
 	t.Helper()
 	cache := newFakeCache(t)
@@ -21,8 +22,8 @@
 	return harness, cache, first
 }
 
-// TestUnexpectedBytesOnIdleConnection: replies on such a connection can't be assigned to requests any more, so the next
-// attempt gets another one, whether the bytes have been read by then or not.
+// TestUnexpectedBytesOnIdleConnection checks that the next attempt uses another connection if bytes have arrived on
+// the idle one, even if the router has not read them yet: further replies on it can't be assigned to requests.
 func TestUnexpectedBytesOnIdleConnection(t *testing.T) {
 	for name, wire := range map[string]string{"half a line": "-ER", "half a reply": "*3\r\n$5\r\nval", "one byte": "*"} {
 		t.Run(name, func(t *testing.T) {
@@ -36,11 +37,11 @@
 			})
 			second := receive(t, cache.commands, "command")
 			if second.conn == first.conn {
-				t.Error("the connection that is out of step carried it")
+				t.Error("the attempt used the connection that is out of step")
 			}
 			second.reply(t, otherServedReply)
 			harness.wantOutcome(policy.Served)
-			if got := string(receive(t, req.slot.reply, "answer")); got != "$7\r\nanother\r\n" {
+			if got := string(receive(t, req.slot.reply, "reply")); got != "$7\r\nanother\r\n" {
 				t.Errorf("the client got %q", got)
 			}
 			receive(t, cache.closed, "end of the connection that is out of step")
@@ -48,8 +49,9 @@
 	}
 }
 
-// TestUnreadCloseOfConnection: a write to a connection whose end has not been read yet would count as a reset after which
-// the request may have been executed. The attempt gets another connection, or fails to connect if this one was new.
+// TestUnreadCloseOfConnection checks that nothing is written to a connection that the cache has closed if the router
+// has not read that close yet. The write would end in a reset, after which the request may have been executed. The
+// attempt uses another connection, or ends with ConnectFailed if the closed connection was new.
 func TestUnreadCloseOfConnection(t *testing.T) {
 	for how, end := range connectionEnds {
 		for name, isNew := range map[string]bool{"idle": false, "new": true} {
@@ -90,6 +92,7 @@
 	}
 }
 
+// TestCloseIdleConnections checks that the engine's action closes the idle connections to a cache.
 func TestCloseIdleConnections(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -100,6 +103,8 @@
 	receive(t, cache.closed, "end of the idle connection")
 }
 
+// TestIdleConnectionsExpireBeforeServerKeepalive checks that the router closes an idle connection before the cache
+// does at the end of its keepalive time.
 func TestIdleConnectionsExpireBeforeServerKeepalive(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Transport.Keepalive = 1000 })
--- a/internal/router/local_dial_errors_test.go
+++ b/internal/router/local_dial_errors_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestRequestsSurviveLocalDialErrors checks that requests which arrive while the router's own machine
-// can't open connections are served once it can, by the real engine, with two caches.
+// TestRequestsSurviveLocalDialErrors checks, with the real policy engine and two caches, that requests that
+// arrive while the router's own host can't open connections are served once it can.
 func TestRequestsSurviveLocalDialErrors(t *testing.T) {
 	for _, err := range []error{unix.ENFILE, unix.ENOBUFS, unix.EADDRNOTAVAIL, unix.ENETUNREACH} {
 		t.Run(err.Error(), func(t *testing.T) {
--- a/internal/router/log_queue_test.go
+++ b/internal/router/log_queue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFaultLinesAreLimited checks that a fault of a thousand connections does not fill the log, and
-// that the lines left out are counted.
+// TestFaultLinesAreLimited checks that a fault of many connections does not fill the log, and that the
+// suppressed lines are counted.
 func TestFaultLinesAreLimited(t *testing.T) {
 	logger := newEventLogger()
 	const faults = 10 * faultLineBurst
@@ -20,7 +20,7 @@
 	}
 }
 
-// TestStatisticsLine checks that the line of statistics names what was counted.
+// TestStatisticsLine checks that the statistics line contains each counter that is not zero.
 func TestStatisticsLine(t *testing.T) {
 	logger := newEventLogger()
 	s := &statistics{}
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestLastLinesAreWritten checks that the lines queued when the router ends are written, and that a
-// log which takes none does not keep it from ending.
+// TestLastLinesAreWritten checks that the lines that are queued when the router ends are written, and that
+// the router ends even if the log cannot be written.
 func TestLastLinesAreWritten(t *testing.T) {
 	logger := newEventLogger()
 	done := make(chan struct{})
@@ -57,7 +57,7 @@
 		t.Errorf("%d lines are not written", n)
 	}
 	begun := time.Now()
-	newEventLogger().awaitWritten() // nobody writes
+	newEventLogger().awaitWritten() // no writer is running
 	if waited := time.Since(begun); waited < logFlushTimeout {
 		t.Errorf("waited for %v only", waited)
 	}
--- a/internal/router/outcome_test.go
+++ b/internal/router/outcome_test.go
@@ -13,7 +13,7 @@
 	"marlstage/policy"
 )
 
-// TestReplyResults covers the rows of the protocol's table in which a reply arrives.
+// TestReplyResults checks the result of an attempt for each kind of reply from a cache.
 func TestReplyResults(t *testing.T) {
 	for _, c := range []struct {
 		wire   string
@@ -27,7 +27,7 @@
 		{"-ERR failed\r\n", policy.ServerError, false},
 		{"-BUSY\r\n", policy.Rejected, false},
 		{"-SYNTAX\r\n", policy.ServerError, false},
-		{"*3\r\n$-1\r\n$-1\r\n$-1\r\n", policy.ServerError, false}, // a null value serves no request
+		{"*3\r\n$-1\r\n$-1\r\n$-1\r\n", policy.ServerError, false}, // a null value is not a valid reply to a request
 		{"*1\r\n$5\r\nvalue\r\n", policy.ServerError, false},
 		{"*2\r\n$5\r\nvalue\r\n$3\r\nhit\r\n", policy.ServerError, false},
 		{"*4\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n$-1\r\n", policy.ServerError, false},
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestQueuedAttemptIsNotSentAfterFinalReply covers the check before the first byte is written.
+// TestQueuedAttemptIsNotSentAfterFinalReply checks that an attempt that waits for a connection is not sent once
+// its request has ended or the attempt is cancelled.
 func TestQueuedAttemptIsNotSentAfterFinalReply(t *testing.T) {
 	for name, end := range map[string]func(*loopHarness, *request){
 		"rejected":            func(harness *loopHarness, req *request) { harness.loop.perform(policy.Reject{ID: req.id}) },
@@ -71,6 +72,8 @@
 	}
 }
 
+// TestQueuedAttemptIsNotSentAfterDeadline checks that an attempt whose deadline passes while it waits for a
+// connection is not sent.
 func TestQueuedAttemptIsNotSentAfterDeadline(t *testing.T) {
 	harness, cache, busy := newHarnessWithExhaustedPool(t)
 	harness.sendAttempt(harness.newRequest(nil), time.Millisecond)
@@ -78,6 +81,8 @@
 	wantNothingForwarded(t, harness, cache, busy)
 }
 
+// TestExhaustedPoolIsConnectFailed checks that an attempt that gets no connection within the dial timeout ends
+// with ConnectFailed.
 func TestExhaustedPoolIsConnectFailed(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
@@ -90,6 +95,8 @@
 	harness.wantOutcome(policy.ConnectFailed)
 }
 
+// TestCloseAfterWriteIsConnectionLost checks the result if the cache closes the connection before it replies:
+// the cache may have executed the request.
 func TestCloseAfterWriteIsConnectionLost(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -98,6 +105,7 @@
 	harness.wantOutcome(policy.ConnectionLost)
 }
 
+// TestCloseOfReusedConnectionIsConnectionLost checks the same for a connection that has carried a request before.
 func TestCloseOfReusedConnectionIsConnectionLost(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -114,6 +122,8 @@
 	harness.wantOutcome(policy.ConnectionLost)
 }
 
+// TestResetDuringWriteIsConnectFailed checks the result if the connection is reset before the command is written
+// completely: the cache can't have executed the request.
 func TestResetDuringWriteIsConnectFailed(t *testing.T) {
 	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -123,10 +133,12 @@
 	if _, err := nc.Read(make([]byte, 1)); err != nil { // the write has begun
 		t.Fatal(err)
 	}
-	nc.Close() // with bytes unread: a reset
+	nc.Close() // resets the connection, since bytes are unread
 	harness.wantOutcome(policy.ConnectFailed)
 }
 
+// TestCancelDuringWriteIsNotSent checks the result if an attempt is cancelled before its command is written
+// completely.
 func TestCancelDuringWriteIsNotSent(t *testing.T) {
 	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -140,6 +152,7 @@
 	harness.wantOutcome(policy.NotSent)
 }
 
+// TestMissingReplyIsTimedOut checks that an attempt without a reply times out and that its connection is closed.
 func TestMissingReplyIsTimedOut(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -149,6 +162,8 @@
 	receive(t, cache.closed, "end of the connection")
 }
 
+// TestCancelAfterWriteClosesConnection checks that cancelling an attempt that waits for its reply closes the
+// connection.
 func TestCancelAfterWriteClosesConnection(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -160,7 +175,8 @@
 	receive(t, cache.closed, "end of the connection")
 }
 
-// TestMalformedReplies: a faulty server neither ends the router nor keeps it waiting.
+// TestMalformedReplies checks that a malformed reply neither stops the router nor leaves the attempt waiting for its
+// timeout, and that bytes behind a reply end the connection.
 func TestMalformedReplies(t *testing.T) {
 	for _, wire := range []string{"garbage\r\n", "$-5\r\n", "$9223372036854775807\r\n", "*9223372036854775807\r\n",
 		"*3\r\n$5\r\nvalueXX$3\r\nhit\r\n", "*1\r\n$x\r\n", "*-7\r\n", "$3\r\nabcdef\r\n",
@@ -171,13 +187,14 @@
 		receive(t, cache.commands, "command").reply(t, wire)
 		if strings.HasPrefix(wire, servedReply) {
 			harness.wantOutcome(policy.Served)
-			receive(t, cache.closed, "end of the connection that is out of step")
+			receive(t, cache.closed, "end of the connection with bytes behind the reply")
 		} else if outcome := receive(t, harness.outcomes, "outcome"); outcome.Result.NeverRan() || outcome.Result == policy.Served || outcome.Result == policy.TimedOut {
 			t.Errorf("%.40q: outcome %d", wire, outcome.Result)
 		}
 	}
 }
 
+// TestFragmentedReply checks that a reply that arrives in several parts is passed on complete.
 func TestFragmentedReply(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -194,7 +211,7 @@
 	}
 }
 
-// TestForwardedCommand: everything but the timeout is forwarded as it arrived.
+// TestForwardedCommand checks that a command is forwarded unchanged except for the timeout.
 func TestForwardedCommand(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -206,7 +223,7 @@
 	harness.sendAttempt(harness.acceptCommand(cmd), 10*time.Second)
 	got := receive(t, cache.commands, "command").args
 	if got[0] != "C.SET" || got[1] != "key" || got[2] != "id" || got[4] != "\x00\r\nVALUE" {
-		t.Errorf("the server was sent %q", got)
+		t.Errorf("the cache was sent %q", got)
 	}
 	meta := strings.Split(got[3], ",")
 	d, err := strconv.Atoi(strings.TrimPrefix(meta[2], "d="))
@@ -216,7 +233,8 @@
 	}
 }
 
-// TestFinalReplyStopsPartialWrite: no more of the attempt is written, and it was not executed.
+// TestFinalReplyStopsPartialWrite checks that the write of a command stops when its request gets its final reply,
+// and that the attempt counts as not sent.
 func TestFinalReplyStopsPartialWrite(t *testing.T) {
 	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -233,7 +251,7 @@
 	}
 }
 
-// TestAddressChange: connections to a server's old address are not used for new requests.
+// TestAddressChange checks that connections to the old address of a cache are not used for new requests.
 func TestAddressChange(t *testing.T) {
 	old, moved := newFakeCache(t), newFakeCache(t)
 	harness := newLoopHarness(t, old.addr(), nil)
@@ -253,7 +271,7 @@
 	harness.wantOutcome(policy.Served)
 }
 
-// TestClientTimeoutIsBounded by the longest timeout in the settings.
+// TestClientTimeoutIsBounded checks that the timeout of a request is limited to the longest in the settings.
 func TestClientTimeoutIsBounded(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	cmd, err := resp.ParseCommand([][]byte{[]byte("C.GET"), []byte("k"), []byte("id"), []byte("c=read,d=2000000000")}, 60)
@@ -268,7 +286,8 @@
 	})
 }
 
-// TestDescriptorShortageIsNotSent: a server has not failed if the router had no descriptor left to dial it with.
+// TestDescriptorShortageIsNotSent checks that an attempt ends with NotSent, and not with ConnectFailed, if the
+// router has no descriptor left to dial the cache with: the cache has not failed.
 func TestDescriptorShortageIsNotSent(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -290,7 +309,8 @@
 	harness.wantOutcome(policy.NotSent)
 }
 
-// TestPoolsOfRemovedCachesAreDeleted, so that memory doesn't grow with every server there ever was.
+// TestPoolsOfRemovedCachesAreDeleted checks that memory does not grow with the number of caches that have ever
+// been on the endpoint list.
 func TestPoolsOfRemovedCachesAreDeleted(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -305,7 +325,7 @@
 			harness.loop.sweepIdle()
 		}
 		if n := len(harness.loop.pools); n != 2 {
-			t.Errorf("%d pools for 2 servers on the list", n)
+			t.Errorf("%d pools for 2 caches on the list", n)
 		}
 	})
 	harness.sendAttempt(harness.newRequest(nil), longTimeout)
@@ -313,8 +333,8 @@
 	harness.wantOutcome(policy.Served)
 }
 
-// TestHealthCheckResults checks that only the reply to PING passes a health check: a value is the
-// reply to some request.
+// TestHealthCheckResults checks that only the reply to PING passes a health check. A value is the reply to
+// another request.
 func TestHealthCheckResults(t *testing.T) {
 	for wire, want := range map[string]policy.Result{
 		resp.PongReply: policy.Served,
@@ -347,8 +367,8 @@
 	return nil
 }
 
-// TestReplyOfWrongKindEndsConnection checks that a connection is not used any more after a reply that
-// can't belong to its command: the proper one may still come, and would be taken for the next one's.
+// TestReplyOfWrongKindEndsConnection checks that a connection is not used again after a reply that can't belong
+// to its command. The proper reply may still arrive and would be taken for that of the next command.
 func TestReplyOfWrongKindEndsConnection(t *testing.T) {
 	for _, wire := range []string{resp.PongReply, "$5\r\nvalue\r\n", ":1\r\n", "*0\r\n", "*1\r\n$5\r\nvalue\r\n"} {
 		cache := newFakeCache(t)
--- a/internal/router/upstream_harness_test.go
+++ b/internal/router/upstream_harness_test.go
@@ -13,10 +13,10 @@
 	"marlstage/policy"
 )
 
-// longTimeout is a deadline that no attempt of a test is meant to reach.
+// longTimeout is the timeout of attempts that are not meant to time out.
 const longTimeout = 20 * time.Second
 
-// unreachableAddr returns an address at which no connection is ever established, as its accept queue is full.
+// unreachableAddr returns an address at which no connection is established because its accept queue is full.
 func unreachableAddr(t *testing.T) string {
 	t.Helper()
 	addr, _ := listenWithFullAcceptQueue(t)
@@ -57,7 +57,8 @@
 	return "", 0
 }
 
-// newHarnessWithExhaustedPool returns a rig whose connections to the server are all in use, by the commands it returns.
+// newHarnessWithExhaustedPool returns a harness whose connections to the cache are all in use, and the commands
+// that use them.
 func newHarnessWithExhaustedPool(t *testing.T) (*loopHarness, *fakeCache, []fakeCommand) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
@@ -69,8 +70,8 @@
 	return harness, cache, busy
 }
 
-// wantNothingForwarded replies to the commands that use the connections and has one more request served: had anything
-// else been forwarded before it, the server would have received that by then.
+// wantNothingForwarded checks that no other attempt has been sent to the cache. It replies to the commands that use
+// the connections and sends one more request: any other attempt would have reached the cache before that one.
 func wantNothingForwarded(t *testing.T, harness *loopHarness, cache *fakeCache, busy []fakeCommand) {
 	t.Helper()
 	for _, cmd := range busy {
@@ -84,11 +85,11 @@
 	}
 	harness.sendAttempt(harness.acceptCommand(cmd), longTimeout)
 	if got := receive(t, cache.commands, "command"); got.args[2] != "last" {
-		t.Errorf("the server was sent %q", got.args)
+		t.Errorf("the cache was sent %q", got.args)
 	}
 }
 
-// nonReadingCache accepts connections and reads nothing from them.
+// nonReadingCache listens at the address that it returns, accepts connections and reads nothing from them.
 func nonReadingCache(t *testing.T) (addr string, conns chan net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,7 +110,7 @@
 	return ln.Addr().String(), conns
 }
 
-// largeRequest returns a request that no socket takes at once.
+// largeRequest returns a request that is too large for one write to any socket.
 func largeRequest(harness *loopHarness) *request {
 	req := harness.newRequest([]byte("v"))
 	harness.do(func() { req.command.Args[resp.ValueArgument] = bytes.Repeat([]byte("v"), 64<<20) })
