--- a/internal/router/accept_error_test.go
+++ b/internal/router/accept_error_test.go
@@ -42,7 +42,7 @@
 // up, ends the router, and checks that the client is answered before the router ends.
 func wantQueuedClientAnswered(t *testing.T, router *runningRouter, listener *deadlineListener, firstAccept fault) {
 	t.Helper()
-	receive(t, firstAccept.begun, "call of accept")
+	receive(t, firstAccept.reached, "call of accept")
 	client := dial(t, router.addr)
 	client.send(encodeCommand("PING"))
 	router.stop()
@@ -62,7 +62,7 @@
 	srv := newReadyServer(t)
 	srv.lateAcceptTime = 0
 	system := useFaultySystem(srv)
-	firstAccept := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	firstAccept := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	system.inject(callAccept, firstAccept)
 	deadlines := 0
 	listener := useDeadlineListener(srv, func(at time.Time) time.Time {
@@ -133,7 +133,7 @@
 	srv := newReadyServer(t)
 	srv.lateAcceptTime = 0
 	system := useFaultySystem(srv)
-	firstAccept := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	firstAccept := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	system.inject(callAccept, firstAccept)
 	for range 2 {
 		for _, errno := range append(acceptErrors.shortage, acceptErrors.connection...) {
--- a/internal/router/client_leaves_stalled_test.go
+++ b/internal/router/client_leaves_stalled_test.go
@@ -9,14 +9,14 @@
 		t.Run(how, func(t *testing.T) {
 			d := newDisconnectTest(t, 1)
 			client, req := d.sendRequest()
-			stalled := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+			stalled := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 			d.system.inject(callPeek, stalled)
 			performed := make(chan struct{})
 			go func() {
 				defer close(performed)
 				d.do(func() { d.perform(req, "c1") })
 			}()
-			receive(t, stalled.begun, "look at the connection to the cache")
+			receive(t, stalled.reached, "look at the connection to the cache")
 			d.disconnect(client, disconnect)
 			close(stalled.resume)
 			receive(t, performed, "end of the attempt's start")
--- a/internal/router/close_crossing_test.go
+++ b/internal/router/close_crossing_test.go
@@ -43,7 +43,7 @@
 
 // stallWithoutBytes is a fault of a read or peek which finds nothing and returns late.
 func stallWithoutBytes() fault {
-	return fault{err: unix.EAGAIN, begun: make(chan struct{}), resume: make(chan struct{})}
+	return fault{err: unix.EAGAIN, reached: make(chan struct{}), resume: make(chan struct{})}
 }
 
 // TestRequestAtFirstCommandTimeout has a request arrive just as the time for it ends: after the last
@@ -70,7 +70,7 @@
 			client := dial(t, srv.listener.Addr().String())
 			client.send(early)
 			startServer(t, srv)
-			receive(t, stall.begun, "read")
+			receive(t, stall.reached, "read")
 			late := time.Now().Add(srv.commandTimeout)
 			client.send(request[len(early):])
 			client.waitForDelivery()
@@ -134,8 +134,8 @@
 	}
 	router.srv.closeIdleClients()
 	select {
-	case <-lastLooks[callPeek].begun:
-	case <-lastLooks[callRead].begun:
+	case <-lastLooks[callPeek].reached:
+	case <-lastLooks[callRead].reached:
 	case <-time.After(testTimeout):
 		t.Fatal("the reader does not look at the connection")
 	}
--- a/internal/router/drain_hang_test.go
+++ b/internal/router/drain_hang_test.go
@@ -54,12 +54,12 @@
 	srv.lateAcceptTime = 0
 	srv.drainTime = time.Millisecond
 	system := useFaultySystem(srv)
-	write := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	write := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	system.inject(callWrite, write)
 	router := startServer(t, srv)
 	client := dial(t, router.addr)
 	client.send(getCommand("r1"))
-	receive(t, write.begun, "write of the reply")
+	receive(t, write.reached, "write of the reply")
 	client.send(getCommand("r2")) // stays unread, or is answered at once
 	router.stop()
 	waitUntil(t, "the end of reading", srv.noNewCommands.Load)
--- a/internal/router/drain_stall_test.go
+++ b/internal/router/drain_stall_test.go
@@ -16,12 +16,12 @@
 	}
 	srv.lateAcceptTime = 0
 	system := useFaultySystem(srv)
-	stall := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	stall := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	system.inject(callAccept, fault{}, stall) // the first Accept is interrupted by the drain
 	router := startServer(t, srv)
 	waitUntil(t, "the first Accept", func() bool { return system.callCount(callAccept) == 1 })
 	router.stop()
-	receive(t, stall.begun, "Accept while draining")
+	receive(t, stall.reached, "Accept while draining")
 	client := dial(t, router.addr)
 	client.send(getCommand("r1"))
 	begun := time.Now()
--- a/internal/router/fault_matrix_clients_test.go
+++ b/internal/router/fault_matrix_clients_test.go
@@ -218,7 +218,7 @@
 			return true
 		}
 		if !s.client.hasEnded() {
-			s.run.oracle.waitedInVain(s.client.conn)
+			s.run.oracle.answerTimedOut(s.client.conn)
 			_ = s.client.nc.Close()
 			<-s.client.ended
 			return true
--- a/internal/router/fault_matrix_system_test.go
+++ b/internal/router/fault_matrix_system_test.go
@@ -160,7 +160,7 @@
 		return n, err
 	}
 	if s.crossing.CompareAndSwap(crossing, nil) {
-		read := s.oracle.readFrom(crossing.addr)
+		read := s.oracle.bytesReadFrom(crossing.addr)
 		close(crossing.write)
 		s.awaitBytes(fd, crossing.addr, read)
 	}
@@ -175,7 +175,7 @@
 	expired := time.After(testTimeout)
 	for {
 		n, err := s.Linux.Peek(fd, make([]byte, 1))
-		if n > 0 || !errors.Is(err, syscall.EAGAIN) || s.oracle.readFrom(addr) > read {
+		if n > 0 || !errors.Is(err, syscall.EAGAIN) || s.oracle.bytesReadFrom(addr) > read {
 			return
 		}
 		select {
--- a/internal/router/fault_matrix_test.go
+++ b/internal/router/fault_matrix_test.go
@@ -234,7 +234,7 @@
 	served, busy, failed := m.oracle.answerCounts()
 	total := served + busy + failed
 	m.t.Logf("%d served, %d rejected, %d failed, %d faults, %d new connections shut unread",
-		served, busy, failed, m.faultCount(), m.oracle.shutUnread())
+		served, busy, failed, m.faultCount(), m.oracle.closedUnread())
 	if m.situation != situationLateCommand && float64(served) < minServedShare*float64(total) || served == 0 {
 		m.t.Errorf("only %d of %d answers come from a cache, although two of three calls succeed", served, total)
 	}
@@ -308,7 +308,7 @@
 		p := m.router.srv.loop.pools[m.caches[0].name]
 		draining := p == nil || !p.inService
 		if draining {
-			m.oracle.cacheDrained(m.caches[0].name)
+			m.oracle.cacheDraining(m.caches[0].name)
 		}
 		drains <- draining
 	})
--- a/internal/router/faulty_system_test.go
+++ b/internal/router/faulty_system_test.go
@@ -32,7 +32,7 @@
 type fault struct {
 	err      error
 	maxBytes int           // if positive, the most that a read or write transfers: a short count
-	begun    chan struct{} // if not nil, closed when the call is reached, ...
+	reached  chan struct{} // if not nil, closed when the call is reached, ...
 	resume   chan struct{} // ... which then waits until this is closed: a stall without a sleep
 }
 
@@ -45,8 +45,8 @@
 	calls  map[systemCall]int
 	decide func(call systemCall, fd int) *fault
 
-	bytesRead           atomic.Int64 // by all reads; peeks do not count
-	readBeforeEmptyRead atomic.Int64 // bytes read when a read found nothing last
+	bytesRead            atomic.Int64 // by all reads; peeks do not count
+	bytesReadAtEmptyRead atomic.Int64 // bytes read when a read found nothing last
 }
 
 func newFaultySystem() *faultySystem {
@@ -95,8 +95,8 @@
 	return len(s.script[call])
 }
 
-// next counts a call and returns its fault, after the stall if it has one.
-func (s *faultySystem) next(call systemCall, fd int) fault {
+// nextFault counts a call and returns its fault, after the stall if it has one.
+func (s *faultySystem) nextFault(call systemCall, fd int) fault {
 	s.mu.Lock()
 	s.calls[call]++
 	var f fault
@@ -108,8 +108,8 @@
 		}
 	}
 	s.mu.Unlock()
-	if f.begun != nil {
-		close(f.begun)
+	if f.reached != nil {
+		close(f.reached)
 	}
 	if f.resume != nil {
 		<-f.resume
@@ -125,34 +125,34 @@
 }
 
 func (s *faultySystem) Accept(listener net.Listener) (net.Conn, error) {
-	if f := s.next(callAccept, 0); f.err != nil {
+	if f := s.nextFault(callAccept, 0); f.err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: f.err}
 	}
 	return s.Linux.Accept(listener)
 }
 
 func (s *faultySystem) Dial(addr string, timeout time.Duration) (net.Conn, error) {
-	if f := s.next(callDial, 0); f.err != nil {
+	if f := s.nextFault(callDial, 0); f.err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: f.err}
 	}
 	return s.Linux.Dial(addr, timeout)
 }
 
 func (s *faultySystem) Read(fd int, b []byte) (int, error) {
-	f := s.next(callRead, fd)
+	f := s.nextFault(callRead, fd)
 	if f.err != nil {
 		return -1, f.err
 	}
 	n, err := s.Linux.Read(fd, f.limit(b))
 	total := s.bytesRead.Add(int64(max(n, 0)))
 	if errors.Is(err, unix.EAGAIN) {
-		s.readBeforeEmptyRead.Store(total)
+		s.bytesReadAtEmptyRead.Store(total)
 	}
 	return n, err
 }
 
 func (s *faultySystem) Write(fd int, b []byte) (int, error) {
-	f := s.next(callWrite, fd)
+	f := s.nextFault(callWrite, fd)
 	if f.err != nil {
 		return -1, f.err
 	}
@@ -160,35 +160,35 @@
 }
 
 func (s *faultySystem) Peek(fd int, b []byte) (int, error) {
-	if f := s.next(callPeek, fd); f.err != nil {
+	if f := s.nextFault(callPeek, fd); f.err != nil {
 		return -1, f.err
 	}
 	return s.Linux.Peek(fd, b)
 }
 
 func (s *faultySystem) Poll(fds []unix.PollFd) (int, error) {
-	if f := s.next(callPoll, int(fds[0].Fd)); f.err != nil {
+	if f := s.nextFault(callPoll, int(fds[0].Fd)); f.err != nil {
 		return -1, f.err
 	}
 	return s.Linux.Poll(fds)
 }
 
 func (s *faultySystem) UnacknowledgedBytes(fd int) (int, error) {
-	if f := s.next(callUnacknowledged, fd); f.err != nil {
+	if f := s.nextFault(callUnacknowledged, fd); f.err != nil {
 		return 0, f.err
 	}
 	return s.Linux.UnacknowledgedBytes(fd)
 }
 
 func (s *faultySystem) UnreadBytes(fd int) (int, error) {
-	if f := s.next(callUnreadBytes, fd); f.err != nil {
+	if f := s.nextFault(callUnreadBytes, fd); f.err != nil {
 		return 0, f.err
 	}
 	return s.Linux.UnreadBytes(fd)
 }
 
 func (s *faultySystem) LastDataAge(fd int) (time.Duration, error) {
-	if f := s.next(callLastDataAge, fd); f.err != nil {
+	if f := s.nextFault(callLastDataAge, fd); f.err != nil {
 		return 0, f.err
 	}
 	return s.Linux.LastDataAge(fd)
--- a/internal/router/hidden_end_test.go
+++ b/internal/router/hidden_end_test.go
@@ -17,11 +17,11 @@
 	client := d.dial()
 	client.send(getCommand("hidden"))
 	req := d.harness.onlyRequest()
-	reading := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	reading := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	d.system.inject(callRead, reading)
 	const lines = "\r\n"
 	client.send(lines)
-	receive(t, reading.begun, "read")
+	receive(t, reading.reached, "read")
 	client.send(strings.Repeat(lines, minUnreadHidingDisconnect))
 	waitUntil(t, "unread bytes", func() bool { _, err := req.client.checkHangup(); return err != nil })
 	d.do(func() { d.perform(req, "c1") })
--- a/internal/router/last_command_test.go
+++ b/internal/router/last_command_test.go
@@ -39,7 +39,7 @@
 // to be made takes what comes, up to the size of its buffer.
 func (l *lastCommandTest) waitForBytes(n int) {
 	l.t.Helper()
-	waitUntil(l.t, "a read behind the bytes", func() bool { return l.system.readBeforeEmptyRead.Load() == int64(n) })
+	waitUntil(l.t, "a read behind the bytes", func() bool { return l.system.bytesReadAtEmptyRead.Load() == int64(n) })
 }
 
 // wantEnd checks that the router ends the connection and has read so many bytes, whatever else the
@@ -81,10 +81,10 @@
 	l := newLastCommandTest(t, nil)
 	command := getCommand("r1")
 	const commands = 5
-	stalled := fault{begun: make(chan struct{}), resume: make(chan struct{}), maxBytes: commands*len(command) - 7}
+	stalled := fault{reached: make(chan struct{}), resume: make(chan struct{}), maxBytes: commands*len(command) - 7}
 	l.system.inject(callRead, stalled)
 	l.client.send(strings.Repeat(command, 2*commands)) // the waiting read takes a part of it, ...
-	receive(t, stalled.begun, "read")
+	receive(t, stalled.reached, "read")
 	l.router.srv.stopNewCommands() // ... and returns when no more is to be read
 	close(stalled.resume)
 	for range commands {
@@ -157,10 +157,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLastCommandTest(t, nil)
-			stalled := fault{begun: make(chan struct{}), resume: make(chan struct{}), maxBytes: 1}
+			stalled := fault{reached: make(chan struct{}), resume: make(chan struct{}), maxBytes: 1}
 			l.system.inject(callRead, stalled)
 			l.client.send(rubbish)
-			receive(t, stalled.begun, "read")
+			receive(t, stalled.reached, "read")
 			l.router.srv.stopNewCommands()
 			close(stalled.resume)
 			if reply := l.client.readLine(); reply != "-BUSY" && !strings.HasPrefix(reply, "-ERR Protocol error") {
--- a/internal/router/oracle_cache_test.go
+++ b/internal/router/oracle_cache_test.go
@@ -31,7 +31,7 @@
 
 // servedWire is the answer of a cache that serves the request.
 func servedWire(id string) string {
-	value := servedBy(id)
+	value := servedValue(id)
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
 }
 
@@ -73,12 +73,12 @@
 		id := string(cmd.Args[resp.IDArgument])
 		answer := c.answer(id, c.oracle.attemptsOf(id))
 		c.oracle.attemptArrived(oracleAttempt{
-			id:       id,
-			cache:    c.name,
-			upstream: upstreamKey(nc.RemoteAddr(), nc.LocalAddr()),
-			index:    index,
-			timeout:  faulttest.ToldTimeout(string(cmd.Args[resp.OptionsArgument])),
-			mayRun:   !strings.HasPrefix(answer.wire, "-BUSY"),
+			id:         id,
+			cache:      c.name,
+			upstream:   upstreamKey(nc.RemoteAddr(), nc.LocalAddr()),
+			index:      index,
+			timeout:    faulttest.ToldTimeout(string(cmd.Args[resp.OptionsArgument])),
+			mayHaveRun: !strings.HasPrefix(answer.wire, "-BUSY"),
 		})
 		if answer.after != nil {
 			<-answer.after
--- a/internal/router/oracle_client_test.go
+++ b/internal/router/oracle_client_test.go
@@ -85,7 +85,7 @@
 		pause()
 	}
 	if _, err := io.WriteString(c.nc, rest); err == nil { // else it is not known to be written whole
-		c.oracle.wroteWhole(requests)
+		c.oracle.wroteAll(requests)
 	}
 }
 
@@ -124,12 +124,12 @@
 
 // close closes the connection as the client's own wish.
 func (c *oracleClient) close() {
-	c.oracle.clientEnds(c.conn, func() { _ = c.nc.Close() }) // it may be closed already
+	c.oracle.closeClient(c.conn, func() { _ = c.nc.Close() }) // it may be closed already
 }
 
 // reset closes the connection with a reset.
 func (c *oracleClient) reset() {
-	c.oracle.clientEnds(c.conn, func() {
+	c.oracle.closeClient(c.conn, func() {
 		_ = c.nc.SetLinger(0) // fails only on a closed connection
 		_ = c.nc.Close()
 	})
--- a/internal/router/oracle_seeded_test.go
+++ b/internal/router/oracle_seeded_test.go
@@ -191,7 +191,7 @@
 	}},
 	{name: "forwarded to a draining cache", want: "r1: an attempt began at draining cache c1", serve: func(r *seededRouter) {
 		r.serveNext()
-		r.oracle.cacheDrained("c1")
+		r.oracle.cacheDraining("c1")
 		r.serveNext()
 	}},
 	{name: "closed after a part was read", want: "r0: lost: the router has read it", serve: func(r *seededRouter) {
--- a/internal/router/oracle_test.go
+++ b/internal/router/oracle_test.go
@@ -37,40 +37,40 @@
 	// does not come whole.
 	allowsLateCommands bool
 
-	mu        sync.Mutex
-	requests  map[string]*oracleRequest
-	conns     []*oracleConn
-	byAddr    map[string]*oracleConn     // the latest connection with an address of the client's side
-	upstreams map[string]*upstreamStream // by upstreamKey
-	attempts  []oracleAttempt
-	drained   map[string]time.Time // by cache: since when the router knows that it drains
+	mu            sync.Mutex
+	requests      map[string]*oracleRequest
+	conns         []*oracleConn
+	byAddr        map[string]*oracleConn     // the latest connection with an address of the client's side
+	upstreams     map[string]*upstreamStream // by upstreamKey
+	attempts      []oracleAttempt
+	drainingSince map[string]time.Time // by cache: since when the router knows that it drains
 }
 
 // oracleRequest is a request that a client has written.
 type oracleRequest struct {
-	id        string
-	class     string
-	timeout   time.Duration
-	start     int64 // of its bytes among those that the client wrote to its connection
-	end       int64
-	writtenAt time.Time
-	order     int // among the requests of its connection
-	conn      *oracleConn
+	id          string
+	class       string
+	timeout     time.Duration
+	startOffset int64 // of its bytes among those that the client wrote to its connection
+	endOffset   int64
+	writtenAt   time.Time
+	index       int // among the requests of its connection
+	conn        *oracleConn
 }
 
 // oracleConn is a client's connection.
 type oracleConn struct {
-	addr      string
-	requests  []*oracleRequest // in the order of their bytes
-	answers   []oracleAnswer
-	remainder string // of an answer that did not come whole
-	written   int64  // bytes that the client wrote
-	read      int64  // bytes that the router has read
-	reads     []oracleRead
-	clientEnd time.Time
-	routerEnd time.Time
-	unmet     bool // the client has given up waiting for an answer
-	client    *net.TCPConn
+	addr           string
+	requests       []*oracleRequest // in the order of their bytes
+	answers        []oracleAnswer
+	remainder      string // of an answer that did not come whole
+	written        int64  // bytes that the client wrote
+	read           int64  // bytes that the router has read
+	reads          []oracleRead
+	clientClosedAt time.Time
+	routerClosedAt time.Time
+	timedOut       bool // the client has given up waiting for an answer
+	client         *net.TCPConn
 }
 
 // oracleRead is a read of the router from a client.
@@ -87,13 +87,13 @@
 
 // oracleAttempt is a complete command that reached a cache.
 type oracleAttempt struct {
-	id        string
-	cache     string
-	upstream  string // upstreamKey of the connection
-	index     int    // among the commands of the connection
-	timeout   time.Duration
-	arrivedAt time.Time
-	mayRun    bool // the cache did not turn it away
+	id         string
+	cache      string
+	upstream   string // upstreamKey of the connection
+	index      int    // among the commands of the connection
+	timeout    time.Duration
+	arrivedAt  time.Time
+	mayHaveRun bool // the cache did not turn it away
 }
 
 // upstreamKey names a connection to a cache. The address of the router's side alone may be that of
@@ -104,19 +104,19 @@
 
 // upstreamStream is what the router wrote to a connection to a cache.
 type upstreamStream struct {
-	partial []byte // bytes of an incomplete command
-	begins  []time.Time
+	partial    []byte // bytes of an incomplete command
+	startTimes []time.Time
 }
 
 func newOracle(slack oracleSlack) *oracle {
 	return &oracle{
-		slack:     slack,
-		now:       time.Now,
-		stalled:   func() time.Duration { return 0 },
-		requests:  map[string]*oracleRequest{},
-		byAddr:    map[string]*oracleConn{},
-		upstreams: map[string]*upstreamStream{},
-		drained:   map[string]time.Time{},
+		slack:         slack,
+		now:           time.Now,
+		stalled:       func() time.Duration { return 0 },
+		requests:      map[string]*oracleRequest{},
+		byAddr:        map[string]*oracleConn{},
+		upstreams:     map[string]*upstreamStream{},
+		drainingSince: map[string]time.Time{},
 	}
 }
 
@@ -135,16 +135,16 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r.conn = c
-	r.order = len(c.requests)
-	r.start = c.written
+	r.index = len(c.requests)
+	r.startOffset = c.written
 	c.written += int64(size)
-	r.end = c.written
+	r.endOffset = c.written
 	c.requests = append(c.requests, r)
 	o.requests[r.id] = r
 }
 
-// wroteWhole notes that requests were written to their last byte.
-func (o *oracle) wroteWhole(requests []*oracleRequest) {
+// wroteAll notes that requests were written to their last byte.
+func (o *oracle) wroteAll(requests []*oracleRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, r := range requests {
@@ -158,13 +158,13 @@
 	c.answers = append(c.answers, oracleAnswer{wire, o.now()})
 }
 
-// clientEnds has the client close its connection and notes when that was done.
-func (o *oracle) clientEnds(c *oracleConn, end func()) {
+// closeClient has the client close its connection and notes when that was done.
+func (o *oracle) closeClient(c *oracleConn, end func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	end()
-	if c.clientEnd.IsZero() && c.routerEnd.IsZero() {
-		c.clientEnd = o.now()
+	if c.clientClosedAt.IsZero() && c.routerClosedAt.IsZero() {
+		c.clientClosedAt = o.now()
 	}
 }
 
@@ -173,17 +173,17 @@
 func (o *oracle) connectionEnded(c *oracleConn, remainder string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if c.clientEnd.IsZero() && c.routerEnd.IsZero() {
-		c.routerEnd = o.now()
+	if c.clientClosedAt.IsZero() && c.routerClosedAt.IsZero() {
+		c.routerClosedAt = o.now()
 		c.remainder = remainder
 	}
 }
 
-// waitedInVain notes that a client got no answer although it waited for longer than any may take.
-func (o *oracle) waitedInVain(c *oracleConn) {
+// answerTimedOut notes that a client got no answer although it waited for longer than any may take.
+func (o *oracle) answerTimedOut(c *oracleConn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	c.unmet = true
+	c.timedOut = true
 }
 
 // unread returns those of the requests that the router has ended the connection over without an
@@ -191,11 +191,11 @@
 func (o *oracle) unread(c *oracleConn, requests []*oracleRequest) (unread []*oracleRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if c.routerEnd.IsZero() {
+	if c.routerClosedAt.IsZero() {
 		return nil
 	}
 	for _, r := range requests {
-		if r.order >= len(c.answers) && c.read <= r.start {
+		if r.index >= len(c.answers) && c.read <= r.startOffset {
 			unread = append(unread, r)
 		}
 	}
@@ -208,12 +208,12 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c := o.byAddr[addr]
-	if c == nil || !c.clientEnd.IsZero() || !c.routerEnd.IsZero() {
+	if c == nil || !c.clientClosedAt.IsZero() || !c.routerClosedAt.IsZero() {
 		return false
 	}
 	_ = c.client.SetLinger(0) // fails only on a closed connection
 	_ = c.client.Close()
-	c.clientEnd = o.now()
+	c.clientClosedAt = o.now()
 	return true
 }
 
@@ -226,8 +226,8 @@
 	c.reads = append(c.reads, oracleRead{c.read, o.now()})
 }
 
-// readFrom returns how many bytes the router has read from a client.
-func (o *oracle) readFrom(addr string) int64 {
+// bytesReadFrom returns how many bytes the router has read from a client.
+func (o *oracle) bytesReadFrom(addr string) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.byAddr[addr].read
@@ -237,7 +237,7 @@
 // router cannot know of the time between the two.
 func (r *oracleRequest) receivedAt() time.Time {
 	for _, read := range r.conn.reads {
-		if read.total >= r.end {
+		if read.total >= r.endOffset {
 			return read.at
 		}
 	}
@@ -254,7 +254,7 @@
 		o.upstreams[key] = s
 	}
 	if len(s.partial) == 0 {
-		s.begins = append(s.begins, o.now())
+		s.startTimes = append(s.startTimes, o.now())
 	}
 }
 
@@ -264,7 +264,7 @@
 	defer o.mu.Unlock()
 	s := o.upstreams[key]
 	if len(s.partial) == 0 && len(written) == 0 {
-		s.begins = s.begins[:len(s.begins)-1] // it has not begun
+		s.startTimes = s.startTimes[:len(s.startTimes)-1] // it has not begun
 		return
 	}
 	s.partial = append(s.partial, written...)
@@ -281,15 +281,15 @@
 	o.attempts = append(o.attempts, a)
 }
 
-// cacheDrained notes that the router has learned and applied that a cache drains.
-func (o *oracle) cacheDrained(cache string) {
+// cacheDraining notes that the router has learned and applied that a cache drains.
+func (o *oracle) cacheDraining(cache string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.drained[cache] = o.now()
+	o.drainingSince[cache] = o.now()
 }
 
-// servedBy is the value of a cache's answer to the request with the given id.
-func servedBy(id string) string { return "value-of-" + id }
+// servedValue is the value of a cache's answer to the request with the given id.
+func servedValue(id string) string { return "value-of-" + id }
 
 // violations returns what broke the rules, in a stable order. The test is over by then, and every
 // connection has ended or has been waited for.
@@ -298,33 +298,33 @@
 	defer o.mu.Unlock()
 	var found []string
 	for _, c := range o.conns {
-		found = append(found, o.judgeConn(c)...)
+		found = append(found, o.checkConn(c)...)
 	}
 	for _, a := range o.attempts {
-		found = append(found, o.judgeAttempt(a)...)
+		found = append(found, o.checkAttempt(a)...)
 	}
-	found = append(found, o.judgeRepeats()...)
+	found = append(found, o.checkRepeats()...)
 	slices.Sort(found)
 	return found
 }
 
-func (o *oracle) judgeConn(c *oracleConn) (found []string) {
+func (o *oracle) checkConn(c *oracleConn) (found []string) {
 	report := func(r *oracleRequest, format string, args ...any) {
 		found = append(found, fmt.Sprintf("%s: ", r.id)+fmt.Sprintf(format, args...)+c.describe())
 	}
 	for i, r := range c.requests {
 		switch {
 		case i < len(c.answers):
-			if what := o.judgeAnswer(r, c.answers[i]); what != "" {
+			if what := o.checkAnswer(r, c.answers[i]); what != "" {
 				report(r, "%s", what)
 			}
 		case r.writtenAt.IsZero(): // not written whole, or never known to be
-		case !c.clientEnd.IsZero():
-		case c.routerEnd.IsZero(), c.unmet:
+		case !c.clientClosedAt.IsZero():
+		case c.routerClosedAt.IsZero(), c.timedOut:
 			report(r, "lost: no answer in time")
 		case i == len(c.answers) && c.remainder != "":
 			report(r, "lost: the answer ends after %q", c.remainder)
-		case c.read > r.start:
+		case c.read > r.startOffset:
 			report(r, "lost: the router has read it and ended the connection")
 		}
 	}
@@ -341,8 +341,8 @@
 		c.addr, c.read, c.written, len(c.answers), len(c.requests))
 }
 
-// judgeAnswer says what is wrong with an answer to a request, if anything is.
-func (o *oracle) judgeAnswer(r *oracleRequest, a oracleAnswer) string {
+// checkAnswer says what is wrong with an answer to a request, if anything is.
+func (o *oracle) checkAnswer(r *oracleRequest, a oracleAnswer) string {
 	due := r.timeout + lateReplyAllowance + o.slack.answer + o.stalled()
 	switch {
 	case !r.writtenAt.IsZero() && a.at.Sub(r.writtenAt) > due:
@@ -353,7 +353,7 @@
 		return fmt.Sprintf("wrong answer %q to a proper command", a.wire)
 	case strings.HasPrefix(a.wire, "-BUSY"), strings.HasPrefix(a.wire, "-ERR"):
 		return ""
-	case a.wire != servedBy(r.id):
+	case a.wire != servedValue(r.id):
 		return fmt.Sprintf("wrong answer %q", a.wire)
 	}
 	return ""
@@ -362,15 +362,15 @@
 // attemptSlack is the slack of the limits on attempts.
 func (o *oracle) attemptSlack() time.Duration { return o.slack.attempt + o.stalled() }
 
-// begin returns when an attempt began: with the router's first write, where that is known.
-func (o *oracle) begin(a oracleAttempt) time.Time {
-	if s := o.upstreams[a.upstream]; s != nil && a.index < len(s.begins) {
-		return s.begins[a.index]
+// startTime returns when an attempt began: with the router's first write, where that is known.
+func (o *oracle) startTime(a oracleAttempt) time.Time {
+	if s := o.upstreams[a.upstream]; s != nil && a.index < len(s.startTimes) {
+		return s.startTimes[a.index]
 	}
 	return a.arrivedAt
 }
 
-func (o *oracle) judgeAttempt(a oracleAttempt) (found []string) {
+func (o *oracle) checkAttempt(a oracleAttempt) (found []string) {
 	report := func(format string, args ...any) {
 		found = append(found, fmt.Sprintf("%s: ", a.id)+fmt.Sprintf(format, args...))
 	}
@@ -379,16 +379,16 @@
 		report("an attempt of a request that no client wrote")
 		return found
 	}
-	begin := o.begin(a)
-	if since, ok := o.drained[a.cache]; ok && begin.After(since) {
+	begin := o.startTime(a)
+	if since, ok := o.drainingSince[a.cache]; ok && begin.After(since) {
 		report("an attempt began at draining cache %s, %v after the router knew", a.cache, begin.Sub(since))
 	}
-	if r.order < len(r.conn.answers) {
-		if late := begin.Sub(r.conn.answers[r.order].at); late > 0 {
+	if r.index < len(r.conn.answers) {
+		if late := begin.Sub(r.conn.answers[r.index].at); late > 0 {
 			report("an attempt began %v after the final answer", late)
 		}
 	}
-	if end := r.conn.clientEnd; !end.IsZero() {
+	if end := r.conn.clientClosedAt; !end.IsZero() {
 		if late := begin.Sub(end); late > disconnectGrace+o.attemptSlack() {
 			report("an attempt began %v after the client's end", late)
 		}
@@ -406,8 +406,8 @@
 	return found
 }
 
-// judgeRepeats looks for requests that must not run twice and were sent again.
-func (o *oracle) judgeRepeats() (found []string) {
+// checkRepeats looks for requests that must not run twice and were sent again.
+func (o *oracle) checkRepeats() (found []string) {
 	ran := map[string]int{}
 	for _, a := range o.attempts {
 		r := o.requests[a.id]
@@ -417,20 +417,20 @@
 		if ran[a.id] > 0 {
 			found = append(found, fmt.Sprintf("%s: sent again, although it may have run", a.id))
 		}
-		if a.mayRun {
+		if a.mayHaveRun {
 			ran[a.id]++
 		}
 	}
 	return found
 }
 
-// shutUnread returns how many connections the router ended without having read anything of the
+// closedUnread returns how many connections the router ended without having read anything of the
 // requests that were written to them. Clients send these again, so none is lost.
-func (o *oracle) shutUnread() (count int) {
+func (o *oracle) closedUnread() (count int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, c := range o.conns {
-		if !c.routerEnd.IsZero() && c.read == 0 && len(c.requests) > 0 && !c.requests[0].writtenAt.IsZero() {
+		if !c.routerClosedAt.IsZero() && c.read == 0 && len(c.requests) > 0 && !c.requests[0].writtenAt.IsZero() {
 			count++
 		}
 	}
--- a/internal/router/upstream_write_test.go
+++ b/internal/router/upstream_write_test.go
@@ -175,10 +175,10 @@
 	harness.do(func() { harness.loop.settleTime = 0 })
 	first := harness.serveRequest(cache)
 	req := harness.newRequest(nil)
-	stall := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	stall := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	system.inject(callWrite, stall)
 	harness.loop.post(func() { harness.loop.perform(policy.Send{ID: req.id, Cache: "c1"}) })
-	receive(t, stall.begun, "write")
+	receive(t, stall.reached, "write")
 	first.reply(t, otherServedReply)
 	const length = 150_000
 	over := harness.loop.clock() + length
