--- a/internal/router/accept_error_test.go
+++ b/internal/router/accept_error_test.go
@@ -43,7 +43,7 @@
 // the router ends.
 func wantQueuedClientAnswered(t *testing.T, router *runningRouter, listener *deadlineListener, firstAccept fault) {
 	t.Helper()
-	receive(t, firstAccept.begun, "call of accept")
+	receive(t, firstAccept.reached, "call of accept")
 	client := dial(t, router.addr)
 	client.send(encodeCommand("PING"))
 	router.stop()
@@ -63,7 +63,7 @@
 	srv := newServerWithCache(t)
 	srv.lateAcceptTime = 0
 	system := useFaultySystem(srv)
-	firstAccept := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	firstAccept := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	system.inject(callAccept, firstAccept)
 	deadlines := 0
 	listener := useDeadlineListener(srv, func(at time.Time) time.Time {
@@ -134,7 +134,7 @@
 	srv := newServerWithCache(t)
 	srv.lateAcceptTime = 0
 	system := useFaultySystem(srv)
-	firstAccept := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	firstAccept := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	system.inject(callAccept, firstAccept)
 	for range 2 {
 		for _, errno := range append(acceptErrors.shortage, acceptErrors.connection...) {
--- a/internal/router/close_crossing_test.go
+++ b/internal/router/close_crossing_test.go
@@ -43,7 +43,7 @@
 
 // stallWithoutBytes returns a fault of a read or peek that finds no bytes and returns late.
 func stallWithoutBytes() fault {
-	return fault{err: unix.EAGAIN, begun: make(chan struct{}), resume: make(chan struct{})}
+	return fault{err: unix.EAGAIN, reached: make(chan struct{}), resume: make(chan struct{})}
 }
 
 // TestRequestAtFirstCommandTimeout checks that a request is served that arrives at the timeout for the first
@@ -70,7 +70,7 @@
 			client := dial(t, srv.listener.Addr().String())
 			client.send(early)
 			startServer(t, srv)
-			receive(t, stall.begun, "read")
+			receive(t, stall.reached, "read")
 			commandDeadline := time.Now().Add(srv.commandTimeout)
 			client.send(request[len(early):])
 			client.waitForDelivery()
@@ -134,8 +134,8 @@
 	}
 	router.srv.closeIdleClients()
 	select {
-	case <-finalChecks[callPeek].begun:
-	case <-finalChecks[callRead].begun:
+	case <-finalChecks[callPeek].reached:
+	case <-finalChecks[callRead].reached:
 	case <-time.After(testTimeout):
 		t.Fatal("the reader does not check the connection")
 	}
