--- a/internal/router/accept_error_test.go
+++ b/internal/router/accept_error_test.go
@@ -101,7 +101,7 @@
 	client.send(encodeCommand("PING"))
 	client.wantLine("+PONG")
 	if left := system.pending(callAccept) + system.pending(callPoll); left > 0 {
-		t.Errorf("%d errors are left", left)
+		t.Errorf("%d injected errors have not occurred", left)
 	}
 }
 
@@ -123,7 +123,7 @@
 			}
 		}
 		if backoffs != 10 {
-			t.Errorf("%d backoffs in %d times %v", backoffs, 10*maxImmediateAcceptRetries, errno)
+			t.Errorf("%d backoffs after %d errors %v", backoffs, 10*maxImmediateAcceptRetries, errno)
 		}
 	}
 }
@@ -147,6 +147,6 @@
 	router := startServer(t, srv)
 	wantQueuedClientAnswered(t, router, listener, firstAccept)
 	if left := system.pending(callAccept) + system.pending(callPoll); left > 0 {
-		t.Errorf("%d errors are left", left)
+		t.Errorf("%d injected errors have not occurred", left)
 	}
 }
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -75,7 +75,7 @@
 	client.send(encodeCommand("PING"))
 	client.wantLine("+PONG")
 	if left := listener.failuresLeft.Load(); left > 0 {
-		t.Errorf("%d failures are left", left)
+		t.Errorf("%d failures have not occurred", left)
 	}
 }
 
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestRequestsBeyondLimitAreRejected checks that requests beyond the limit of an overloaded router are rejected,
-// that the replies keep the order of the commands, and that other commands are not limited.
+// TestRequestsBeyondLimitAreRejected checks that requests beyond the limit of an overloaded router are
+// rejected, that the replies keep the order of the commands, and that other commands are not limited.
 func TestRequestsBeyondLimitAreRejected(t *testing.T) {
 	router, harness := startScriptedRouter(t)
 	client := dial(t, router.addr)
@@ -73,8 +73,9 @@
 	harness.waitForOpenRequests(1)
 }
 
-// TestRequestOfDisconnectedClientIsDropped checks that a request is not accepted if the event loop has already
-// handled the disconnect of its client, which can overtake the request because other events come first.
+// TestRequestOfDisconnectedClientIsDropped checks that a request is not accepted if the event loop has
+// already handled the disconnect of its client, which can overtake the request because other events come
+// first.
 func TestRequestOfDisconnectedClientIsDropped(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
@@ -101,8 +102,8 @@
 	return r.scriptedEngine.Handle(now, ev)
 }
 
-// TestDelayReports checks the reports to the engine on the delay with which requests are handled: they are made
-// after requests, and without any while there is a limit.
+// TestDelayReports checks the reports to the engine on the delay with which requests are handled: they are
+// made after requests, and without any while there is a limit.
 func TestDelayReports(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	recorder := &delayReportRecorder{reports: make(chan *policy.DelayReport, 100)}
@@ -128,8 +129,8 @@
 	}
 }
 
-// TestNoReportAfterStall checks that a report that is late because of a stall is postponed. The requests handled
-// right after a stall are not representative of the load.
+// TestNoReportAfterStall checks that a report that is late because of a stall is postponed. The requests
+// handled right after a stall are not representative of the load.
 func TestNoReportAfterStall(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
@@ -148,8 +149,8 @@
 	})
 }
 
-// TestRepliesAreWrittenTogether checks that replies that are available at the same time are written in order, and
-// that merging them does not overwrite memory behind a reply that belongs to another one.
+// TestRepliesAreWrittenTogether checks that replies that are available at the same time are written in
+// order, and that merging them does not overwrite memory behind a reply that belongs to another one.
 func TestRepliesAreWrittenTogether(t *testing.T) {
 	router, harness := startScriptedRouter(t)
 	client := dial(t, router.addr)
--- a/internal/router/arrival_test.go
+++ b/internal/router/arrival_test.go
@@ -139,7 +139,7 @@
 			before := srv.loop.clock()
 			client.send(getCommand("r1"))
 			after := srv.loop.clock()
-			waitUntil(t, "the end of the slack", func() bool { return srv.loop.clock() > after+2*timeoutSlack })
+			waitUntil(t, "the end of the timeout slack", func() bool { return srv.loop.clock() > after+2*timeoutSlack })
 			acceptWorks.Store(true)
 			req := (&loopHarness{t, srv.loop, engine.outcomes}).onlyRequest()
 			if req.deadline > after+timeout+timeoutSlack {
--- a/internal/router/backlog_probe_test.go
+++ b/internal/router/backlog_probe_test.go
@@ -6,8 +6,8 @@
 	"marlstage/policy"
 )
 
-// TestBacklogProbe checks the earliest arrival time of bytes that are read while a probe is pending and after it
-// has returned.
+// TestBacklogProbe checks the earliest arrival time of bytes that are read while a probe is pending and
+// after it has returned.
 func TestBacklogProbe(t *testing.T) {
 	const (
 		start  policy.Time = 10_000_000
--- a/internal/router/budgets_test.go
+++ b/internal/router/budgets_test.go
@@ -28,7 +28,7 @@
 	harness.do(func() { harness.loop.perform(policy.Send{ID: req.id, Cache: "c2", Deadline: req.deadline}) })
 	harness.do(func() {
 		if harness.loop.upstreamConns != 1 || len(harness.loop.starvedPools) != 1 {
-			t.Errorf("%d connections, starved %v", harness.loop.upstreamConns, harness.loop.starvedPools)
+			t.Errorf("%d connections, pools waiting for a descriptor: %v", harness.loop.upstreamConns, harness.loop.starvedPools)
 		}
 	})
 	cmd.conn.Close()
--- a/internal/router/client_faults_test.go
+++ b/internal/router/client_faults_test.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestTransientFaultsOfClientWrites checks that a reply arrives complete although writes of it fail temporarily.
+// TestTransientFaultsOfClientWrites checks that a reply arrives complete although writes of it fail
+// temporarily.
 func TestTransientFaultsOfClientWrites(t *testing.T) {
 	for name, faults := range transientFaults {
 		t.Run(name, func(t *testing.T) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// TestWriteRefusedWithRoomLeft checks that a write is repeated if Linux refuses it for lack of memory although
-// the send buffer has space. No event reports that memory is available again.
+// TestWriteRefusedWithRoomLeft checks that a write is repeated if Linux refuses it for lack of memory
+// although the send buffer has space. No event reports that memory is available again.
 func TestWriteRefusedWithRoomLeft(t *testing.T) {
 	_, system, client := startFaultyRouter(t)
 	system.injectError(callWrite, unix.EAGAIN, 2)
@@ -111,6 +112,6 @@
 		t.Errorf("the write was given up after %v", took)
 	}
 	if writes := system.callCount(callWrite); writes < 10 || writes > 1000 {
-		t.Errorf("%d writes", writes)
+		t.Errorf("%d writes, want 10 to 1000", writes)
 	}
 }
--- a/internal/router/close_crossing_test.go
+++ b/internal/router/close_crossing_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	waitUntil(c.t, "the delivery of what was sent", func() bool {
+	waitUntil(c.t, "the acknowledgement of all bytes sent", func() bool {
 		unacknowledged := 0
 		var queryErr error
 		controlErr := raw.Control(func(fd uintptr) {
@@ -74,7 +74,7 @@
 			commandDeadline := time.Now().Add(srv.commandTimeout)
 			client.send(request[len(early):])
 			client.waitForDelivery()
-			waitUntil(t, "the end of the time for a command", func() bool { return time.Now().After(commandDeadline) })
+			waitUntil(t, "the command timeout", func() bool { return time.Now().After(commandDeadline) })
 			close(stall.resume)
 			receive(t, cache.commands, "command").reply(t, servedReply)
 			client.wantLine("value")
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestRequestCrossesCloseOfNewConnection checks that a request stays unread that arrives between the last check
-// of a connection that has carried no command and its close.
+// TestRequestCrossesCloseOfNewConnection checks that a request stays unread that arrives between the last
+// check of a connection that has carried no command and its close.
 func TestRequestCrossesCloseOfNewConnection(t *testing.T) {
 	router, system, client := startFaultyRouter(t)
 	finalChecks := map[systemCall]fault{callPeek: stallWithoutBytes(), callRead: stallWithoutBytes()}
@@ -157,8 +157,8 @@
 	return "*x\r\n" + strings.Repeat("x", maxDiscarded+discardBufferSize)
 }
 
-// TestReplyBeforeRubbish checks that more bytes than the router discards do not reset the connection before the
-// client has received the reply to the request in front of them.
+// TestReplyBeforeRubbish checks that more bytes than the router discards do not reset the connection before
+// the client has received the reply to the request in front of them.
 func TestReplyBeforeRubbish(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -171,7 +171,8 @@
 	value := strings.Repeat("v", resp.MaxValueSize)
 	receive(t, cache.commands, "command").reply(t, "*3\r\n$65536\r\n"+value+"\r\n$3\r\nhit\r\n$-1\r\n")
 	client.waitForUnreadReply()
-	client.send(rubbishBeyondDiscardLimit()[:4*discardBufferSize]) // those that arrived while the reply was pending have been discarded
+	// The bytes that arrived while the reply was pending have been discarded. These are beyond the limit.
+	client.send(rubbishBeyondDiscardLimit()[:4*discardBufferSize])
 	client.waitForDelivery()
 	client.wantLine(value)
 	if got := client.readLine(); !strings.HasPrefix(got, "-ERR ") {
@@ -187,8 +188,8 @@
 	}
 }
 
-// TestUnreadReplyOutlastsLinger checks that bytes that arrive during the close do not destroy a reply that the
-// client has not received when the linger time ends. Closing the connection then would reset it.
+// TestUnreadReplyOutlastsLinger checks that bytes that arrive during the close do not destroy a reply that
+// the client has not received when the linger time ends. Closing the connection then would reset it.
 func TestUnreadReplyOutlastsLinger(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
--- a/internal/router/disconnect_while_stalled_test.go
+++ b/internal/router/disconnect_while_stalled_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestClientDisconnectsWhileStalled checks that nothing is sent if the client disconnects while the router is
-// stalled after it has checked the time and the connection to the cache, and before it writes the first byte of the
-// attempt.
+// TestClientDisconnectsWhileStalled checks that nothing is sent if the client disconnects while the router
+// is stalled after it has checked the time and the connection to the cache, and before it writes the first
+// byte of the attempt.
 func TestClientDisconnectsWhileStalled(t *testing.T) {
 	for how, disconnect := range disconnects {
 		t.Run(how, func(t *testing.T) {
--- a/internal/router/hidden_disconnect_test.go
+++ b/internal/router/hidden_disconnect_test.go
@@ -7,12 +7,13 @@
 	"marlstage/policy"
 )
 
-// These tests cover disconnects of a client that the router can't detect: those behind bytes that the client's host
-// could not deliver yet because the receive window is full, and those behind bytes that the router will not read.
+// These tests cover disconnects of a client that the router can't detect: those behind bytes that the
+// client's host could not deliver yet because the receive window is full, and those behind bytes that the
+// router will not read.
 
-// TestAttemptWaitsForHiddenDisconnect checks that an attempt waits while its client has so many unread bytes that
-// they may hide a disconnect, that attempts for other clients do not wait for it, and that it starts once these
-// bytes have been read.
+// TestAttemptWaitsForHiddenDisconnect checks that an attempt waits while its client has so many unread bytes
+// that they may hide a disconnect, that attempts for other clients do not wait for it, and that it starts
+// once these bytes have been read.
 func TestAttemptWaitsForHiddenDisconnect(t *testing.T) {
 	d := newDisconnectTest(t, 2)
 	client := d.dial()
@@ -36,8 +37,8 @@
 	}
 }
 
-// TestAttemptIsNotSentWithUnreadBytes checks that no attempt starts for a client that keeps sending after the router
-// has stopped reading from it, so that its disconnect can't be detected.
+// TestAttemptIsNotSentWithUnreadBytes checks that no attempt starts for a client that keeps sending after
+// the router has stopped reading from it, so that its disconnect can't be detected.
 func TestAttemptIsNotSentWithUnreadBytes(t *testing.T) {
 	d := newDisconnectTest(t, 1)
 	client := d.dial()
--- a/internal/router/idle_close_test.go
+++ b/internal/router/idle_close_test.go
@@ -10,8 +10,8 @@
 	"marlstage/internal/resp"
 )
 
-// waitForRouterClose waits until the router has closed its side of the connection and leaves what arrived before
-// that unread.
+// waitForRouterClose waits until the router has closed its side of the connection and leaves what arrived
+// before that unread.
 func (c *testClient) waitForRouterClose() {
 	c.t.Helper()
 	raw, err := c.nc.SyscallConn()
@@ -28,8 +28,8 @@
 	})
 }
 
-// withIdleClient waits for a client connection that has carried a command and has no pending reply, and calls f
-// with it.
+// withIdleClient waits for a client connection that has carried a command and has no pending reply, and
+// calls f with it.
 func withIdleClient(t *testing.T, router *runningRouter, f func(*clientConn)) {
 	t.Helper()
 	waitUntil(t, "an idle connection", func() bool {
@@ -45,9 +45,9 @@
 	})
 }
 
-// TestRequestCrossingIdleClose checks that a request that arrives while its idle connection is closed, for a drain
-// or to release a descriptor, is not forwarded, and that the previous reply, which the client has not read yet, is
-// not lost.
+// TestRequestCrossingIdleClose checks that a request that arrives while its idle connection is closed, for a
+// drain or to release a descriptor, is not forwarded, and that the previous reply, which the client has not
+// read yet, is not lost.
 func TestRequestCrossingIdleClose(t *testing.T) {
 	for name, closeIdle := range map[string]func(*clientConn){
 		"drain": func(c *clientConn) { c.closeWhenIdle() },
@@ -79,8 +79,9 @@
 	}
 }
 
-// TestBytesAfterCloseKeepUnreadReply checks that bytes that arrive after the close do not reset the connection while
-// the client has read only a small part of a large reply that was written long ago. A reset would lose the rest.
+// TestBytesAfterCloseKeepUnreadReply checks that bytes that arrive after the close do not reset the
+// connection while the client has read only a small part of a large reply that was written long ago. A reset
+// would lose the rest.
 func TestBytesAfterCloseKeepUnreadReply(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
--- a/internal/router/idle_conn_test.go
+++ b/internal/router/idle_conn_test.go
@@ -8,8 +8,8 @@
 	"marlstage/policy"
 )
 
-// newHarnessWithIdleConn returns a harness with an idle connection that has settled, its cache, and the command that
-// the connection carried.
+// newHarnessWithIdleConn returns a harness with an idle connection that has settled, its cache, and the
+// command that the connection carried.
 func newHarnessWithIdleConn(t *testing.T) (*loopHarness, *fakeCache, fakeCommand) {
 	t.Helper()
 	cache := newFakeCache(t)
@@ -22,8 +22,9 @@
 	return harness, cache, first
 }
 
-// TestUnexpectedBytesOnIdleConnection checks that the next attempt uses another connection if bytes have arrived on
-// the idle one, even if the router has not read them yet: further replies on it can't be assigned to requests.
+// TestUnexpectedBytesOnIdleConnection checks that the next attempt uses another connection if bytes have
+// arrived on the idle one, even if the router has not read them yet: further replies on it can't be assigned
+// to requests.
 func TestUnexpectedBytesOnIdleConnection(t *testing.T) {
 	for name, wire := range map[string]string{"half a line": "-ER", "half a reply": "*3\r\n$5\r\nval", "one byte": "*"} {
 		t.Run(name, func(t *testing.T) {
@@ -32,7 +33,7 @@
 			harness.do(func() {
 				first.reply(t, wire)
 				c := harness.loop.pools["c1"].idle[0]
-				waitUntil(t, "bytes", func() bool { return c.checkNothingReceived() != nil })
+				waitUntil(t, "the arrival of bytes", func() bool { return c.checkNothingReceived() != nil })
 				harness.loop.perform(policy.Send{ID: req.id, Cache: "c1"})
 			})
 			second := receive(t, cache.commands, "command")
@@ -49,9 +50,10 @@
 	}
 }
 
-// TestUnreadCloseOfConnection checks that nothing is written to a connection that the cache has closed if the router
-// has not read that close yet. The write would end in a reset, after which the request may have been executed. The
-// attempt uses another connection, or ends with ConnectFailed if the closed connection was new.
+// TestUnreadCloseOfConnection checks that nothing is written to a connection that the cache has closed if
+// the router has not read that close yet. The write would end in a reset, after which the request may have
+// been executed. The attempt uses another connection, or ends with ConnectFailed if the closed connection
+// was new.
 func TestUnreadCloseOfConnection(t *testing.T) {
 	for how, end := range connectionEnds {
 		for name, isNew := range map[string]bool{"idle": false, "new": true} {
@@ -65,9 +67,9 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { nc.Close() })
-				c := &upstreamConn{addr: cache.addr(), nc: nc} // without a reader
+				c := &upstreamConn{addr: cache.addr(), nc: nc} // no goroutine reads from it
 				end(receive(t, conns, "connection"))
-				waitUntil(t, "the end", func() bool { return c.checkNothingReceived() != nil })
+				waitUntil(t, "the end of the connection", func() bool { return c.checkNothingReceived() != nil })
 				harness.do(func() {
 					p := harness.loop.pools["c1"]
 					c.pool, c.connectedAt = p, harness.loop.now
@@ -103,8 +105,8 @@
 	receive(t, cache.closed, "end of the idle connection")
 }
 
-// TestIdleConnectionsExpireBeforeServerKeepalive checks that the router closes an idle connection before the cache
-// does at the end of its keepalive time.
+// TestIdleConnectionsExpireBeforeServerKeepalive checks that the router closes an idle connection before the
+// cache does at the end of its keepalive time.
 func TestIdleConnectionsExpireBeforeServerKeepalive(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Transport.Keepalive = 1000 })
--- a/internal/router/outcome_test.go
+++ b/internal/router/outcome_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestQueuedAttemptIsNotSentAfterFinalReply checks that an attempt that waits for a connection is not sent once
-// its request has ended or the attempt is cancelled.
+// TestQueuedAttemptIsNotSentAfterFinalReply checks that an attempt that waits for a connection is not sent
+// once its request has ended or the attempt is cancelled.
 func TestQueuedAttemptIsNotSentAfterFinalReply(t *testing.T) {
 	for name, end := range map[string]func(*loopHarness, *request){
 		"rejected":            func(harness *loopHarness, req *request) { harness.loop.perform(policy.Reject{ID: req.id}) },
@@ -81,8 +81,8 @@
 	wantNothingForwarded(t, harness, cache, busy)
 }
 
-// TestExhaustedPoolIsConnectFailed checks that an attempt that gets no connection within the dial timeout ends
-// with ConnectFailed.
+// TestExhaustedPoolIsConnectFailed checks that an attempt that gets no connection within the dial timeout
+// ends with ConnectFailed.
 func TestExhaustedPoolIsConnectFailed(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
@@ -105,7 +105,8 @@
 	harness.wantOutcome(policy.ConnectionLost)
 }
 
-// TestCloseOfReusedConnectionIsConnectionLost checks the same for a connection that has carried a request before.
+// TestCloseOfReusedConnectionIsConnectionLost checks the same for a connection that has carried a request
+// before.
 func TestCloseOfReusedConnectionIsConnectionLost(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -122,8 +123,8 @@
 	harness.wantOutcome(policy.ConnectionLost)
 }
 
-// TestResetDuringWriteIsConnectFailed checks the result if the connection is reset before the command is written
-// completely: the cache can't have executed the request.
+// TestResetDuringWriteIsConnectFailed checks the result if the connection is reset before the command is
+// written completely: the cache can't have executed the request.
 func TestResetDuringWriteIsConnectFailed(t *testing.T) {
 	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -152,7 +153,8 @@
 	harness.wantOutcome(policy.NotSent)
 }
 
-// TestMissingReplyIsTimedOut checks that an attempt without a reply times out and that its connection is closed.
+// TestMissingReplyIsTimedOut checks that an attempt without a reply times out and that its connection is
+// closed.
 func TestMissingReplyIsTimedOut(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -175,8 +177,8 @@
 	receive(t, cache.closed, "end of the connection")
 }
 
-// TestMalformedReplies checks that a malformed reply neither stops the router nor leaves the attempt waiting for its
-// timeout, and that bytes behind a reply end the connection.
+// TestMalformedReplies checks that a malformed reply neither stops the router nor leaves the attempt waiting
+// for its timeout, and that bytes behind a reply end the connection.
 func TestMalformedReplies(t *testing.T) {
 	for _, wire := range []string{"garbage\r\n", "$-5\r\n", "$9223372036854775807\r\n", "*9223372036854775807\r\n",
 		"*3\r\n$5\r\nvalueXX$3\r\nhit\r\n", "*1\r\n$x\r\n", "*-7\r\n", "$3\r\nabcdef\r\n",
@@ -229,12 +231,12 @@
 	d, err := strconv.Atoi(strings.TrimPrefix(meta[2], "d="))
 	meta[2] = "d"
 	if strings.Join(meta, ",") != "c=put,t=acme,d,k=5c0f,size=12" || err != nil || d < 1 || d > 10_000 {
-		t.Errorf("options %q", got[3])
+		t.Errorf("the cache was sent the options %q", got[3])
 	}
 }
 
-// TestFinalReplyStopsPartialWrite checks that the write of a command stops when its request gets its final reply,
-// and that the attempt counts as not sent.
+// TestFinalReplyStopsPartialWrite checks that the write of a command stops when its request gets its final
+// reply, and that the attempt counts as not sent.
 func TestFinalReplyStopsPartialWrite(t *testing.T) {
 	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -281,13 +283,13 @@
 	req := harness.acceptCommand(cmd)
 	harness.do(func() {
 		if req.deadline > harness.loop.now+20_000_000 {
-			t.Errorf("deadline %d at %d", req.deadline, harness.loop.now)
+			t.Errorf("deadline %d at time %d", req.deadline, harness.loop.now)
 		}
 	})
 }
 
-// TestDescriptorShortageIsNotSent checks that an attempt ends with NotSent, and not with ConnectFailed, if the
-// router has no descriptor left to dial the cache with: the cache has not failed.
+// TestDescriptorShortageIsNotSent checks that an attempt ends with NotSent, and not with ConnectFailed, if
+// the router has no descriptor left to dial the cache with: the cache has not failed.
 func TestDescriptorShortageIsNotSent(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -309,8 +311,8 @@
 	harness.wantOutcome(policy.NotSent)
 }
 
-// TestPoolsOfRemovedCachesAreDeleted checks that memory does not grow with the number of caches that have ever
-// been on the endpoint list.
+// TestPoolsOfRemovedCachesAreDeleted checks that memory does not grow with the number of caches that have
+// ever been on the endpoint list.
 func TestPoolsOfRemovedCachesAreDeleted(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -367,8 +369,8 @@
 	return nil
 }
 
-// TestReplyOfWrongKindEndsConnection checks that a connection is not used again after a reply that can't belong
-// to its command. The proper reply may still arrive and would be taken for that of the next command.
+// TestReplyOfWrongKindEndsConnection checks that a connection is not used again after a reply that can't
+// belong to its command. The proper reply may still arrive and would be taken for that of the next command.
 func TestReplyOfWrongKindEndsConnection(t *testing.T) {
 	for _, wire := range []string{resp.PongReply, "$5\r\nvalue\r\n", ":1\r\n", "*0\r\n", "*1\r\n$5\r\nvalue\r\n"} {
 		cache := newFakeCache(t)
--- a/internal/router/upstream_harness_test.go
+++ b/internal/router/upstream_harness_test.go
@@ -57,8 +57,8 @@
 	return "", 0
 }
 
-// newHarnessWithExhaustedPool returns a harness whose connections to the cache are all in use, and the commands
-// that use them.
+// newHarnessWithExhaustedPool returns a harness whose connections to the cache are all in use, and the
+// commands that use them.
 func newHarnessWithExhaustedPool(t *testing.T) (*loopHarness, *fakeCache, []fakeCommand) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
@@ -70,8 +70,9 @@
 	return harness, cache, busy
 }
 
-// wantNothingForwarded checks that no other attempt has been sent to the cache. It replies to the commands that use
-// the connections and sends one more request: any other attempt would have reached the cache before that one.
+// wantNothingForwarded checks that no other attempt has been sent to the cache. It replies to the commands
+// that use the connections and sends one more request: any other attempt would have reached the cache before
+// that one.
 func wantNothingForwarded(t *testing.T, harness *loopHarness, cache *fakeCache, busy []fakeCommand) {
 	t.Helper()
 	for _, cmd := range busy {
