--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -10,8 +10,8 @@
 	"marlstage/policy"
 )
 
-// TestRequestsWaitForOtherEvents checks that what has begun comes before requests that have not: the replies
-// of caches would else wait behind a crowd of requests, and come late.
+// TestRequestsWaitForOtherEvents checks that the event loop handles all other events before new requests.
+// Otherwise the replies of caches would wait behind many new requests and be late.
 func TestRequestsWaitForOtherEvents(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	blocked, resume := make(chan struct{}), make(chan struct{})
@@ -24,17 +24,17 @@
 	var order []string
 	var ran sync.WaitGroup
 	ran.Add(2 * count)
-	note := func(what string) func() {
+	record := func(what string) func() {
 		return func() {
 			order = append(order, what)
 			ran.Done()
 		}
 	}
 	for range count {
-		harness.loop.postRequest(note("request"))
+		harness.loop.postRequest(record("request"))
 	}
 	for range count {
-		harness.loop.post(note("event"))
+		harness.loop.post(record("event"))
 	}
 	close(resume)
 	ran.Wait()
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestRequestsBeyondLimitAreRejected checks that requests beyond the limit of an overloaded router get their
-// rejection, in the order of the commands, and that other commands are not limited.
+// TestRequestsBeyondLimitAreRejected checks that requests beyond the limit of an overloaded router are
+// rejected, that the replies keep the order of the commands, and that other commands are not limited.
 func TestRequestsBeyondLimitAreRejected(t *testing.T) {
 	router, harness := startScriptedRouter(t)
 	client := dial(t, router.addr)
@@ -73,9 +73,10 @@
 	harness.waitForOpenRequests(1)
 }
 
-// TestRequestOfGoneClientIsDropped checks that a request whose client's end overtakes it, as other events
-// come before requests, is not taken any more.
-func TestRequestOfGoneClientIsDropped(t *testing.T) {
+// TestRequestOfDisconnectedClientIsDropped checks that a request is not accepted if the event loop has
+// already handled the disconnect of its client, which can overtake the request because other events come
+// first.
+func TestRequestOfDisconnectedClientIsDropped(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
 		c := &clientConn{requests: map[int64]*request{}}
@@ -83,53 +84,54 @@
 		harness.loop.clientDisconnected(c)
 		harness.loop.acceptRequest(c, slot, resp.Command{}, harness.loop.now)
 		if len(harness.loop.requests) > 0 || len(slot.reply) != 1 || len(c.requests) > 0 {
-			t.Error("the request of a client that has gone is taken")
+			t.Error("the request of a disconnected client is accepted")
 		}
 	})
 }
 
-// reportRecorder is an engine that notes the reports of delays.
-type reportRecorder struct {
+// delayReportRecorder is an engine that records the reports of event loop delays.
+type delayReportRecorder struct {
 	scriptedEngine
 	reports chan *policy.DelayReport
 }
 
-func (r *reportRecorder) Handle(now policy.Time, ev policy.Event) []policy.Action {
+func (r *delayReportRecorder) Handle(now policy.Time, ev policy.Event) []policy.Action {
 	if report, ok := ev.(*policy.DelayReport); ok {
 		r.reports <- report
 	}
 	return r.scriptedEngine.Handle(now, ev)
 }
 
-// TestDelayReports checks what the engine is told of how late requests are handled.
+// TestDelayReports checks the reports to the engine on the delay with which requests are handled: they are
+// made after requests, and without any while there is a limit.
 func TestDelayReports(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
-	recorder := &reportRecorder{reports: make(chan *policy.DelayReport, 100)}
+	recorder := &delayReportRecorder{reports: make(chan *policy.DelayReport, 100)}
 	harness.do(func() {
 		recorder.outcomes = harness.outcomes
 		harness.loop.engine = recorder
 	})
-	const late = 30_000
+	const delay = 30_000
 	harness.do(func() {
 		for i := range policy.Time(3) {
-			harness.loop.delayReporter.noteRequest(harness.loop.now - late - i)
+			harness.loop.delayReporter.noteRequest(harness.loop.now - delay - i)
 		}
 	})
 	report := receive(t, recorder.reports, "report")
-	if report.MinDelay != late || report.Handled != 3 || report.Interval < delayReportInterval {
-		t.Errorf("report %+v, want 3 requests, one of them handled %d late", report, late)
+	if report.MinDelay != delay || report.Handled != 3 || report.Interval < delayReportInterval {
+		t.Errorf("report %+v, want 3 requests and a minimum delay of %d", report, delay)
 	}
 	harness.do(func() { harness.loop.perform(policy.LimitRequests{PerSecond: 1000}) })
 	harness.do(func() { harness.loop.delayReporter.noteRequest(harness.loop.now) })
 	receive(t, recorder.reports, "report")
-	if report = receive(t, recorder.reports, "report while there is a limit"); report.Handled != 0 || report.MinDelay != 0 {
-		t.Errorf("report %+v, want none taken", report)
+	if report = receive(t, recorder.reports, "report while requests are limited"); report.Handled != 0 || report.MinDelay != 0 {
+		t.Errorf("report %+v, want no requests", report)
 	}
 }
 
-// TestNoReportBehindStall checks that a report which a stall delays is put off, as it would take the requests
-// of that moment for the rule.
-func TestNoReportBehindStall(t *testing.T) {
+// TestNoReportAfterStall checks that a report that is late because of a stall is postponed. The requests
+// handled right after a stall are not representative of the load.
+func TestNoReportAfterStall(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	harness.do(func() {
 		loop := harness.loop
@@ -137,7 +139,7 @@
 		loop.pendingEvents = nil
 		loop.delayReporter.report(loop.now - maxReportLateness - 1)
 		if len(loop.pendingEvents) > 0 {
-			t.Error("a report is made behind a stall")
+			t.Error("a report is made after a stall")
 		}
 		loop.delayReporter.report(loop.now - maxReportLateness)
 		if len(loop.pendingEvents) != 1 {
@@ -147,8 +149,8 @@
 	})
 }
 
-// TestRepliesAreWrittenTogether checks that replies that are there at the same time keep their order, and
-// that none is written into the memory of another one.
+// TestRepliesAreWrittenTogether checks that replies that are available at the same time are written in
+// order, and that merging them does not overwrite memory behind a reply that belongs to another one.
 func TestRepliesAreWrittenTogether(t *testing.T) {
 	router, harness := startScriptedRouter(t)
 	client := dial(t, router.addr)
@@ -164,7 +166,7 @@
 		for id, req := range harness.loop.requests {
 			reply := []byte("+" + req.externalID() + "\r\n")
 			if req.externalID() == "r0" {
-				reply = append(shared[:0], reply...) // with room behind it that is another's
+				reply = append(shared[:0], reply...) // its spare capacity belongs to another reply
 			}
 			harness.loop.finishRequest(id, requestServed, reply)
 		}
--- a/internal/router/budgets_test.go
+++ b/internal/router/budgets_test.go
@@ -9,8 +9,8 @@
 	"marlstage/policy"
 )
 
-// TestUpstreamDescriptorLimit checks that an attempt waits for a descriptor if those for caches are
-// used up, and that an idle connection to another cache is closed to release one.
+// TestUpstreamDescriptorLimit checks that an attempt waits for a descriptor if those for connections to
+// caches are used up, and that an idle connection to another cache is closed to release one.
 func TestUpstreamDescriptorLimit(t *testing.T) {
 	cache, other := newFakeCache(t), newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -22,20 +22,20 @@
 		}
 		harness.loop.applyEndpoints(list, list.Kind())
 	})
-	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	cmd := receive(t, cache.commands, "command")
 	req := harness.newRequest(nil)
 	harness.do(func() { harness.loop.perform(policy.Send{ID: req.id, Cache: "c2", Deadline: req.deadline}) })
 	harness.do(func() {
 		if harness.loop.upstreamConns != 1 || len(harness.loop.starvedPools) != 1 {
-			t.Errorf("%d connections, starved %v", harness.loop.upstreamConns, harness.loop.starvedPools)
+			t.Errorf("%d connections, pools waiting for a descriptor: %v", harness.loop.upstreamConns, harness.loop.starvedPools)
 		}
 	})
 	cmd.conn.Close()
 	harness.wantOutcome(policy.ConnectionLost)
 	receive(t, other.commands, "command").reply(t, servedReply)
 	harness.wantOutcome(policy.Served)
-	harness.sendAttempt(harness.newRequest(nil), long) // the connection to the other cache is idle now
+	harness.sendAttempt(harness.newRequest(nil), longTimeout) // the connection to the other cache is idle now
 	receive(t, cache.commands, "command").reply(t, servedReply)
 	harness.wantOutcome(policy.Served)
 	receive(t, other.closed, "end of the idle connection")
@@ -51,13 +51,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv.loop.engine = &scriptedEngine{} // does not reply
+	srv.loop.engine = &scriptedEngine{} // sends no replies
 	router := startServer(t, srv)
 	pending := func(want int64) func() bool {
 		return func() bool { return pendingReplies(srv) == want }
 	}
-	// Both clients have to have a command in flight before they send more. Otherwise all commands of
-	// one could be rejected, and none of its replies would be pending.
+	// Each client must have a command in flight before they send more. Otherwise all commands of one
+	// could be rejected, and none of its replies would be pending.
 	clients := []*testClient{dial(t, router.addr), dial(t, router.addr)}
 	for _, client := range clients {
 		client.send(getCommand("r"))
@@ -74,7 +74,7 @@
 	}
 }
 
-// pendingReplies is the number of commands of all clients whose replies are not written.
+// pendingReplies returns the number of commands of all clients whose replies have not been written.
 func pendingReplies(srv *Server) int64 {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -85,8 +85,8 @@
 	return pending
 }
 
-// TestShortRepliesPassWithFullMemoryBudget checks that replies pass which take no more than the
-// substitute for those that do not fit.
+// TestShortRepliesPassWithFullMemoryBudget checks that a reply is not replaced for lack of memory if it is
+// no longer than the reply that would replace it.
 func TestShortRepliesPassWithFullMemoryBudget(t *testing.T) {
 	for _, reply := range []string{resp.BusyReply, "-BUSY 1500\r\n", "+PONG\r\n"} {
 		slot := newReplySlot(newMemoryBudget(0))
--- a/internal/router/close_crossing_test.go
+++ b/internal/router/close_crossing_test.go
@@ -11,17 +11,17 @@
 	"marlstage/internal/resp"
 )
 
-// Requests that cross the router's close of their connection: each is read and answered, or it stays
-// unread, so that its client may send it once more.
+// These tests have a request arrive while the router closes its connection. The router has to read and answer
+// it or leave it unread, so that the client may safely send it again.
 
-// waitForDelivery waits until the router's machine has acknowledged all that was sent.
+// waitForDelivery waits until the router's host has acknowledged everything that was sent.
 func (c *testClient) waitForDelivery() {
 	c.t.Helper()
 	raw, err := c.nc.SyscallConn()
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	waitUntil(c.t, "the delivery of what was sent", func() bool {
+	waitUntil(c.t, "the acknowledgement of all bytes sent", func() bool {
 		unacknowledged := 0
 		var queryErr error
 		controlErr := raw.Control(func(fd uintptr) {
@@ -41,13 +41,13 @@
 	})
 }
 
-// stallWithoutBytes is a fault of a read or peek which finds nothing and returns late.
+// stallWithoutBytes returns a fault of a read or peek that finds no bytes and returns late.
 func stallWithoutBytes() fault {
-	return fault{err: unix.EAGAIN, begun: make(chan struct{}), resume: make(chan struct{})}
+	return fault{err: unix.EAGAIN, reached: make(chan struct{}), resume: make(chan struct{})}
 }
 
-// TestRequestAtFirstCommandTimeout has a request arrive just as the time for it ends: after the last
-// look at the socket, and before its reader learns of the timeout.
+// TestRequestAtFirstCommandTimeout checks that a request is served that arrives at the timeout for the first
+// command: after the last read from the socket, and before the reader learns of the timeout.
 func TestRequestAtFirstCommandTimeout(t *testing.T) {
 	request := getCommand("r1")
 	for name, early := range map[string]string{
@@ -70,11 +70,11 @@
 			client := dial(t, srv.listener.Addr().String())
 			client.send(early)
 			startServer(t, srv)
-			receive(t, stall.begun, "read")
-			late := time.Now().Add(srv.commandTimeout)
+			receive(t, stall.reached, "read")
+			commandDeadline := time.Now().Add(srv.commandTimeout)
 			client.send(request[len(early):])
 			client.waitForDelivery()
-			waitUntil(t, "the end of the time for a command", func() bool { return time.Now().After(late) })
+			waitUntil(t, "the command timeout", func() bool { return time.Now().After(commandDeadline) })
 			close(stall.resume)
 			receive(t, cache.commands, "command").reply(t, servedReply)
 			client.wantLine("value")
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestNothingIsReadAfterClose has a request arrive after the router has ended its side of the
-// connection.
+// TestNothingIsReadAfterClose checks that a request stays unread that arrives after the router has closed its
+// side of the connection.
 func TestNothingIsReadAfterClose(t *testing.T) {
 	for name, end := range map[string]func(*testing.T, *runningRouter, *testClient){
 		"drain": func(t *testing.T, r *runningRouter, _ *testClient) {
@@ -111,7 +111,7 @@
 			client.send(encodeCommand("PING"))
 			client.wantLine("+PONG")
 			end(t, router, client)
-			client.wantUnreadEnd()
+			client.waitForRouterClose()
 			read := system.bytesRead.Load()
 			client.send(getCommand("r1"))
 			client.waitForDelivery()
@@ -124,41 +124,41 @@
 	}
 }
 
-// TestRequestCrossesCloseOfNewConnection has a request arrive between the last look at a connection
-// that was never answered and its close.
+// TestRequestCrossesCloseOfNewConnection checks that a request stays unread that arrives between the last
+// check of a connection that has carried no command and its close.
 func TestRequestCrossesCloseOfNewConnection(t *testing.T) {
 	router, system, client := startFaultyRouter(t)
-	lastLooks := map[systemCall]fault{callPeek: stallWithoutBytes(), callRead: stallWithoutBytes()}
-	for call, stall := range lastLooks {
+	finalChecks := map[systemCall]fault{callPeek: stallWithoutBytes(), callRead: stallWithoutBytes()}
+	for call, stall := range finalChecks {
 		system.inject(call, stall)
 	}
 	router.srv.closeIdleClients()
 	select {
-	case <-lastLooks[callPeek].begun:
-	case <-lastLooks[callRead].begun:
+	case <-finalChecks[callPeek].reached:
+	case <-finalChecks[callRead].reached:
 	case <-time.After(testTimeout):
-		t.Fatal("the reader does not look at the connection")
+		t.Fatal("the reader does not check the connection")
 	}
 	client.send(getCommand("r1"))
 	client.waitForDelivery()
-	for _, stall := range lastLooks {
+	for _, stall := range finalChecks {
 		close(stall.resume)
 	}
 	client.wantClosed()
 	client.close()
 	router.waitForNoClients(t)
 	if n := system.bytesRead.Load(); n > 0 {
-		t.Errorf("%d bytes of a request were read that was not answered", n)
+		t.Errorf("%d bytes were read of a request that was not answered", n)
 	}
 }
 
-// rubbishBeyondDiscard is a protocol error and more bytes behind it than are discarded.
-func rubbishBeyondDiscard() string {
+// rubbishBeyondDiscardLimit returns a protocol error followed by more bytes than the router discards.
+func rubbishBeyondDiscardLimit() string {
 	return "*x\r\n" + strings.Repeat("x", maxDiscarded+discardBufferSize)
 }
 
-// TestReplyBeforeRubbish checks that bytes which are not even discarded do not reset the connection
-// before the reply to the request in front of them has been received.
+// TestReplyBeforeRubbish checks that more bytes than the router discards do not reset the connection before
+// the client has received the reply to the request in front of them.
 func TestReplyBeforeRubbish(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -166,12 +166,13 @@
 	if err := client.nc.SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
 	}
-	client.send(getCommand("r1") + rubbishBeyondDiscard())
+	client.send(getCommand("r1") + rubbishBeyondDiscardLimit())
 	client.waitForDelivery()
 	value := strings.Repeat("v", resp.MaxValueSize)
 	receive(t, cache.commands, "command").reply(t, "*3\r\n$65536\r\n"+value+"\r\n$3\r\nhit\r\n$-1\r\n")
-	client.wantUnreadBytes()
-	client.send(rubbishBeyondDiscard()[:4*discardBufferSize]) // while a reply is due, what comes before is discarded
+	client.waitForUnreadReply()
+	// The bytes that arrived while the reply was pending have been discarded. These are beyond the limit.
+	client.send(rubbishBeyondDiscardLimit()[:4*discardBufferSize])
 	client.waitForDelivery()
 	client.wantLine(value)
 	if got := client.readLine(); !strings.HasPrefix(got, "-ERR ") {
@@ -179,16 +180,16 @@
 	}
 }
 
-// wantUnreadBytes waits until part of a reply has arrived, and leaves it unread.
-func (c *testClient) wantUnreadBytes() {
+// waitForUnreadReply waits until part of a reply has arrived and leaves it unread.
+func (c *testClient) waitForUnreadReply() {
 	c.t.Helper()
 	if _, err := c.reader.Peek(1); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// TestUnreadReplyOutlastsLinger checks that bytes that cross the close do not take a reply that is
-// still on its way when the time to read it is over.
+// TestUnreadReplyOutlastsLinger checks that bytes that arrive during the close do not destroy a reply that
+// the client has not received when the linger time ends. Closing the connection then would reset it.
 func TestUnreadReplyOutlastsLinger(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -212,8 +213,8 @@
 	read := system.bytesRead.Load()
 	client.send(getCommand("r2"))
 	client.waitForDelivery()
-	lingered := time.Now().Add(4 * hangupCheckInterval)
-	waitUntil(t, "the end of the lingering", func() bool { return time.Now().After(lingered) })
+	afterLinger := time.Now().Add(4 * hangupCheckInterval)
+	waitUntil(t, "the end of the lingering", func() bool { return time.Now().After(afterLinger) })
 	client.wantLine(value)
 	if n := system.bytesRead.Load() - read; n > 0 {
 		t.Errorf("%d bytes were read after the close", n)
--- a/internal/router/hidden_end_test.go
+++ b/internal/router/hidden_disconnect_test.go
@@ -7,27 +7,29 @@
 	"marlstage/policy"
 )
 
-// A client's end can't be seen behind bytes that its machine could not deliver yet, or that nobody reads.
+// These tests cover disconnects of a client that the router can't detect: those behind bytes that the
+// client's host could not deliver yet because the receive window is full, and those behind bytes that the
+// router will not read.
 
-// TestAttemptWaitsForHiddenEnd checks that an attempt waits while so much of its client is unread that the
-// client's end may be hidden behind that, that attempts for others do not wait for it, and that it starts
-// once the client has been read.
-func TestAttemptWaitsForHiddenEnd(t *testing.T) {
+// TestAttemptWaitsForHiddenDisconnect checks that an attempt waits while its client has so many unread bytes
+// that they may hide a disconnect, that attempts for other clients do not wait for it, and that it starts
+// once these bytes have been read.
+func TestAttemptWaitsForHiddenDisconnect(t *testing.T) {
 	d := newDisconnectTest(t, 2)
 	client := d.dial()
 	client.send(getCommand("hidden"))
 	req := d.harness.onlyRequest()
-	reading := fault{begun: make(chan struct{}), resume: make(chan struct{})}
+	reading := fault{reached: make(chan struct{}), resume: make(chan struct{})}
 	d.system.inject(callRead, reading)
 	const lines = "\r\n"
 	client.send(lines)
-	receive(t, reading.begun, "read")
+	receive(t, reading.reached, "read")
 	client.send(strings.Repeat(lines, minUnreadHidingDisconnect))
 	waitUntil(t, "unread bytes", func() bool { _, err := req.client.checkHangup(); return err != nil })
 	d.do(func() { d.perform(req, "c1") })
-	d.harness.sendAttempt(d.harness.newRequest(nil), long)
+	d.harness.sendAttempt(d.harness.newRequest(nil), longTimeout)
 	if other := receive(t, d.cache.commands, "command"); other.args[2] == "hidden" {
-		t.Error("an attempt started although the client's end may be hidden")
+		t.Error("an attempt started although a disconnect of its client may be hidden")
 	}
 	close(reading.resume)
 	if cmd := receive(t, d.cache.commands, "command"); cmd.args[2] != "hidden" {
@@ -35,9 +37,9 @@
 	}
 }
 
-// TestNoAttemptStartsBehindUnreadBytes checks that no attempt starts for a client that sends on where the
-// router reads no more, so that its end can't be seen.
-func TestNoAttemptStartsBehindUnreadBytes(t *testing.T) {
+// TestAttemptIsNotSentWithUnreadBytes checks that no attempt starts for a client that keeps sending after
+// the router has stopped reading from it, so that its disconnect can't be detected.
+func TestAttemptIsNotSentWithUnreadBytes(t *testing.T) {
 	d := newDisconnectTest(t, 1)
 	client := d.dial()
 	client.send(getCommand("r1") + encodeCommand("QUIT"))
--- a/internal/router/upstream_harness_test.go
+++ b/internal/router/upstream_harness_test.go
@@ -13,18 +13,18 @@
 	"marlstage/policy"
 )
 
-// long is a deadline that no attempt of a test is meant to reach.
-const long = 20 * time.Second
+// longTimeout is the timeout of attempts that are not meant to time out.
+const longTimeout = 20 * time.Second
 
-// unreachableAddr returns an address at which no connection is ever established, as its accept queue is full.
+// unreachableAddr returns an address at which no connection is established because its accept queue is full.
 func unreachableAddr(t *testing.T) string {
 	t.Helper()
-	addr, _ := fullAcceptQueue(t)
+	addr, _ := listenWithFullAcceptQueue(t)
 	return addr
 }
 
-// fullAcceptQueue returns a listening socket whose accept queue is full.
-func fullAcceptQueue(t *testing.T) (addr string, fd int) {
+// listenWithFullAcceptQueue returns a listening socket whose accept queue is full.
+func listenWithFullAcceptQueue(t *testing.T) (addr string, fd int) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -57,39 +57,41 @@
 	return "", 0
 }
 
-// exhaustedPool returns a rig whose connections to the server are all in use, by the commands it returns.
-func exhaustedPool(t *testing.T) (*loopHarness, *fakeCache, []fakeCommand) {
+// newHarnessWithExhaustedPool returns a harness whose connections to the cache are all in use, and the
+// commands that use them.
+func newHarnessWithExhaustedPool(t *testing.T) (*loopHarness, *fakeCache, []fakeCommand) {
 	cache := newFakeCache(t)
-	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
+	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 1000 })
 	var busy []fakeCommand
 	for range minConnsPerRouter {
-		r.sendAttempt(r.newRequest(nil), long)
+		harness.sendAttempt(harness.newRequest(nil), longTimeout)
 		busy = append(busy, receive(t, cache.commands, "command"))
 	}
-	return r, cache, busy
+	return harness, cache, busy
 }
 
-// wantNothingForwarded replies to the commands that use the connections and has one more request served: had anything
-// else been forwarded before it, the server would have received that by then.
-func wantNothingForwarded(t *testing.T, r *loopHarness, cache *fakeCache, busy []fakeCommand) {
+// wantNothingForwarded checks that no other attempt has been sent to the cache. It replies to the commands
+// that use the connections and sends one more request: any other attempt would have reached the cache before
+// that one.
+func wantNothingForwarded(t *testing.T, harness *loopHarness, cache *fakeCache, busy []fakeCommand) {
 	t.Helper()
 	for _, cmd := range busy {
 		cmd.reply(t, servedReply)
-		r.wantOutcome(policy.Served)
+		harness.wantOutcome(policy.Served)
 	}
 	args := [][]byte{[]byte("C.GET"), []byte("k1"), []byte("last"), []byte("c=read,d=20000")}
 	cmd, err := resp.ParseCommand(args, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.sendAttempt(r.acceptCommand(cmd), long)
+	harness.sendAttempt(harness.acceptCommand(cmd), longTimeout)
 	if got := receive(t, cache.commands, "command"); got.args[2] != "last" {
-		t.Errorf("the server was sent %q", got.args)
+		t.Errorf("the cache was sent %q", got.args)
 	}
 }
 
-// nonReadingServer accepts connections and reads nothing from them.
-func nonReadingServer(t *testing.T) (addr string, conns chan net.Conn) {
+// nonReadingCache listens at the address that it returns, accepts connections and reads nothing from them.
+func nonReadingCache(t *testing.T) (addr string, conns chan net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -109,9 +111,9 @@
 	return ln.Addr().String(), conns
 }
 
-// largeRequest returns a request that no socket takes at once.
-func largeRequest(r *loopHarness) *request {
-	q := r.newRequest([]byte("v"))
-	r.do(func() { q.command.Args[resp.ValueArgument] = bytes.Repeat([]byte("v"), 64<<20) })
-	return q
+// largeRequest returns a request that is too large for one write to any socket.
+func largeRequest(harness *loopHarness) *request {
+	req := harness.newRequest([]byte("v"))
+	harness.do(func() { req.command.Args[resp.ValueArgument] = bytes.Repeat([]byte("v"), 64<<20) })
+	return req
 }
