--- a/internal/router/fault_matrix_clients_test.go
+++ b/internal/router/fault_matrix_clients_test.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	followingBatches   = 4                      // of a client after the situation has begun
+	followingBatches   = 4                      // of a client after the scenario has begun
 	crowdSize          = 30                     // clients that take turns at few descriptors
 	maxCrowdResends    = 100                    // of a request in a crowd
 	crowdBatches       = 4                      // of each of them
@@ -17,23 +17,23 @@
 
 // clientScript is what a client of the matrix does.
 type clientScript struct {
-	name     string
-	batches  []requestBatch
-	connects bool                  // it connects before its first batch may be written
-	meets    bool                  // it is waited for before the situation begins
-	leave    func(c *oracleClient) // if not nil, how it leaves over its last batch instead of waiting
+	name          string
+	batches       []requestBatch
+	connectsFirst bool                  // it connects before its first batch may be written
+	reportsReady  bool                  // it is waited for before the scenario begins
+	leave         func(c *oracleClient) // if not nil, how it leaves over its last batch instead of waiting
 }
 
 // requestBatch is a number of requests that a client writes at once, and whose answers it awaits.
 type requestBatch struct {
-	class    string
-	size     int
-	inPieces bool          // the first request comes in two, between which the situation begins if it meets
-	hung     bool          // no cache ever answers it, and the client waits for a short time
-	held     bool          // caches hold back the answer to one of them
-	begins   chan struct{} // if not nil, closed when the batch may be written
-	meets    bool          // the situation begins once the batch is written
-	crosses  bool          // it is written when the router looks at the connection before it ends it
+	class            string
+	size             int
+	inPieces         bool          // the first request comes in two, between which the scenario begins if it meets
+	hung             bool          // no cache ever answers it, and the client waits for a short time
+	held             bool          // caches hold back the answer to one of them
+	start            chan struct{} // if not nil, closed when the batch may be written
+	readyOnceWritten bool          // the scenario begins once the batch is written
+	crossesClose     bool          // it is written when the router looks at the connection before it ends it
 }
 
 // repeated returns so many batches of one kind.
@@ -46,11 +46,11 @@
 
 // scripts returns the clients of a cell.
 func (m *matrixRun) scripts() []clientScript {
-	switch m.situation {
-	case situationEvict:
-		return m.crowd()
-	case situationLateCommand:
-		return m.lateCommands()
+	switch m.scenario {
+	case scenarioEvict:
+		return m.crowdScripts()
+	case scenarioLateCommand:
+		return m.lateCommandScripts()
 	}
 	scripts := []clientScript{
 		m.script("sequential", requestBatch{class: classRead, size: 1}, 3, true),
@@ -60,42 +60,42 @@
 		m.script("once", requestBatch{class: classOnce, size: 2}, 2, true),
 		m.script("hung", requestBatch{class: classRead, size: 1, hung: true}, 0, false),
 		m.script("idle", requestBatch{class: classRead, size: 1}, 1, false),
-		{name: "late", batches: repeated(2, requestBatch{class: classRead, size: 2, begins: m.fired})},
+		{name: "late", batches: repeated(2, requestBatch{class: classRead, size: 2, start: m.scenarioStarted})},
 		m.restingScript(),
 	}
-	if m.situation == situationClientLeaves {
+	if m.scenario == scenarioClientLeaves {
 		scripts = append(scripts, m.leavingScripts()...)
 	}
 	return scripts
 }
 
-// script returns a client that sends some batches, one that the situation finds in flight, and more.
+// script returns a client that sends some batches, one that the scenario finds in flight, and more.
 func (m *matrixRun) script(name string, batch requestBatch, before int, inFlight bool) clientScript {
 	batches := repeated(before, batch)
-	meeting := batch
-	meeting.meets, meeting.held = true, inFlight
-	batches = append(batches, meeting)
+	atStart := batch
+	atStart.readyOnceWritten, atStart.held = true, inFlight
+	batches = append(batches, atStart)
 	following := batch
-	following.begins = m.fired
+	following.start = m.scenarioStarted
 	count := followingBatches
 	if batch.hung {
 		count = 1
 	}
-	return clientScript{name: name, batches: append(batches, repeated(count, following)...), meets: true}
+	return clientScript{name: name, batches: append(batches, repeated(count, following)...), reportsReady: true}
 }
 
-// restingScript returns a client whose connection is at rest when the situation begins, and which
+// restingScript returns a client whose connection is at rest when the scenario begins, and which
 // sends as the router is ending the connection, if it does.
 func (m *matrixRun) restingScript() clientScript {
-	return clientScript{name: "resting", meets: true, batches: []requestBatch{
+	return clientScript{name: "resting", reportsReady: true, batches: []requestBatch{
 		{class: classRead, size: 1},
-		{class: classRead, size: 3, crosses: true},
+		{class: classRead, size: 3, crossesClose: true},
 		{class: classRead, size: 1},
 	}}
 }
 
-// crowd returns more clients than there are descriptors.
-func (m *matrixRun) crowd() (scripts []clientScript) {
+// crowdScripts returns more clients than there are descriptors.
+func (m *matrixRun) crowdScripts() (scripts []clientScript) {
 	for i := range crowdSize {
 		scripts = append(scripts, clientScript{
 			name:    fmt.Sprint("crowd", i),
@@ -105,16 +105,16 @@
 	return scripts
 }
 
-// lateCommands returns clients that send their first command as the time for it ends.
-func (m *matrixRun) lateCommands() (scripts []clientScript) {
+// lateCommandScripts returns clients that send their first command as the time for it ends.
+func (m *matrixRun) lateCommandScripts() (scripts []clientScript) {
 	for i := range lateClients {
 		begins := make(chan struct{})
 		early := lateCommandSpread/2 - lateCommandSpread*time.Duration(i)/lateClients
 		time.AfterFunc(lateCommandTimeout-early, func() { close(begins) })
 		scripts = append(scripts, clientScript{
-			name:     fmt.Sprint("late", i),
-			connects: true,
-			batches:  []requestBatch{{class: classRead, size: 1 + i%3, begins: begins}},
+			name:          fmt.Sprint("late", i),
+			connectsFirst: true,
+			batches:       []requestBatch{{class: classRead, size: 1 + i%3, start: begins}},
 		})
 	}
 	return scripts
@@ -125,16 +125,16 @@
 func (m *matrixRun) leavingScripts() (scripts []clientScript) {
 	leave := map[string]func(*oracleClient){"close": (*oracleClient).close, "reset": (*oracleClient).reset}
 	for how, leave := range leave {
-		inFlight := requestBatch{class: classRead, size: 3, held: true, meets: true}
-		unread := requestBatch{class: classRead, size: 3, begins: m.fired}
+		inFlight := requestBatch{class: classRead, size: 3, held: true, readyOnceWritten: true}
+		unread := requestBatch{class: classRead, size: 3, start: m.scenarioStarted}
 		scripts = append(scripts,
-			clientScript{name: "leaves in flight by " + how, batches: []requestBatch{inFlight}, meets: true, leave: leave},
+			clientScript{name: "leaves in flight by " + how, batches: []requestBatch{inFlight}, reportsReady: true, leave: leave},
 			clientScript{name: "leaves at once by " + how, batches: []requestBatch{unread}, leave: leave},
 			clientScript{
-				name:    "leaves a used connection by " + how,
-				batches: []requestBatch{{class: classPut, size: 1, meets: true}, unread},
-				meets:   true,
-				leave:   leave,
+				name:         "leaves a used connection by " + how,
+				batches:      []requestBatch{{class: classPut, size: 1, readyOnceWritten: true}, unread},
+				reportsReady: true,
+				leave:        leave,
 			})
 	}
 	return scripts
@@ -146,25 +146,25 @@
 	script clientScript
 	client *oracleClient
 	sent   int  // requests on the present connection
-	met    bool // the situation need not wait for the client any more
+	ready  bool // the scenario need not wait for the client any more
 }
 
 // runClient plays a client.
 func (m *matrixRun) runClient(script clientScript) {
 	s := &matrixSession{run: m, script: script}
-	defer s.meet()
-	if script.connects && !s.connect() {
+	defer s.reportReady()
+	if script.connectsFirst && !s.connect() {
 		return
 	}
 	for i, batch := range script.batches {
-		if batch.begins != nil {
-			<-batch.begins
+		if batch.start != nil {
+			<-batch.start
 		}
-		if batch.crosses && !s.awaitCrossing() {
+		if batch.crossesClose && !s.awaitCrossing() {
 			return
 		}
 		last := i == len(script.batches)-1
-		if !s.perform(i, batch, last) {
+		if !s.runBatch(i, batch, last) {
 			return
 		}
 	}
@@ -174,29 +174,29 @@
 	}
 }
 
-// awaitCrossing lets the situation begin and waits for the router to look at the connection before it
+// awaitCrossing lets the scenario begin and waits for the router to look at the connection before it
 // ends it. It reports false if the router takes no more connections.
 func (s *matrixSession) awaitCrossing() bool {
 	if !s.connect() {
 		return false
 	}
-	s.run.system.crossing.Store(&closeCrossing{addr: s.client.conn.addr, write: s.run.crossed})
-	s.meet()
-	<-s.run.crossed
+	s.run.system.crossing.Store(&closeCrossing{addr: s.client.conn.addr, write: s.run.crossingStarted})
+	s.reportReady()
+	<-s.run.crossingStarted
 	return true
 }
 
-// meet lets the situation begin, as far as this client is concerned.
-func (s *matrixSession) meet() {
-	if s.script.meets && !s.met {
-		s.met = true
-		s.run.arrived.Done()
+// reportReady lets the scenario begin, as far as this client is concerned.
+func (s *matrixSession) reportReady() {
+	if s.script.reportsReady && !s.ready {
+		s.ready = true
+		s.run.clientsReady.Done()
 	}
 }
 
-// perform sends a batch and awaits its answers, with what the router did not read sent again. It
+// runBatch sends a batch and awaits its answers, with what the router did not read sent again. It
 // reports false if the router takes no more connections.
-func (s *matrixSession) perform(number int, batch requestBatch, last bool) bool {
+func (s *matrixSession) runBatch(number int, batch requestBatch, last bool) bool {
 	requests := s.newRequests(number, batch)
 	for range 1 + s.maxResends() {
 		if !s.connect() {
@@ -204,12 +204,12 @@
 		}
 		s.client.send(requests, s.pause(batch))
 		s.sent += len(requests)
-		if batch.meets {
-			s.meet()
+		if batch.readyOnceWritten {
+			s.reportReady()
 		}
 		if last && s.script.leave != nil {
-			if batch.meets {
-				<-s.run.fired
+			if batch.readyOnceWritten {
+				<-s.run.scenarioStarted
 			}
 			s.script.leave(s.client)
 			return true
@@ -223,7 +223,7 @@
 			<-s.client.ended
 			return true
 		}
-		requests = s.resent(requests)
+		requests = s.requestsToResend(requests)
 		if len(requests) == 0 {
 			return true
 		}
@@ -234,7 +234,7 @@
 
 // maxResends returns how often a request may be sent again. Few descriptors can be shut unread often.
 func (s *matrixSession) maxResends() int {
-	if s.run.situation == situationEvict {
+	if s.run.scenario == scenarioEvict {
 		return maxCrowdResends
 	}
 	return maxResends
@@ -246,12 +246,12 @@
 	switch {
 	case !batch.inPieces:
 		return nil
-	case !batch.meets:
+	case !batch.readyOnceWritten:
 		return func() {}
 	default:
 		return func() {
-			s.meet()
-			<-s.run.released
+			s.reportReady()
+			<-s.run.answersReleased
 		}
 	}
 }
@@ -275,8 +275,8 @@
 	return requests
 }
 
-// resent returns the requests that are to be sent again on a new connection, as new ones.
-func (s *matrixSession) resent(requests []*oracleRequest) (again []*oracleRequest) {
+// requestsToResend returns the requests that are to be sent again on a new connection, as new ones.
+func (s *matrixSession) requestsToResend(requests []*oracleRequest) (again []*oracleRequest) {
 	for _, r := range s.run.oracle.unread(s.client.conn, requests) {
 		again = append(again, &oracleRequest{id: r.id + "-again", class: r.class, timeout: r.timeout})
 	}
@@ -290,7 +290,7 @@
 	}
 	client, err := dialOracle(s.run.oracle, s.run.router.addr)
 	if err != nil {
-		if s.run.situation != situationTerminate {
+		if s.run.scenario != scenarioTerminate {
 			s.run.t.Errorf("%s could not connect: %v", s.script.name, err)
 		}
 		return false
--- a/internal/router/fault_matrix_discovery_test.go
+++ b/internal/router/fault_matrix_discovery_test.go
@@ -60,7 +60,7 @@
 		waitForCallEnd(r, done)
 		return
 	}
-	list, ok := d.await(r, done, known)
+	list, ok := d.awaitNewerList(r, done, known)
 	if !ok {
 		return
 	}
@@ -97,8 +97,8 @@
 	return d.faults
 }
 
-// await waits for a list that is newer than the known one.
-func (d *matrixDiscovery) await(r *http.Request, done <-chan struct{}, known int) (list string, ok bool) {
+// awaitNewerList waits for a list that is newer than the known one.
+func (d *matrixDiscovery) awaitNewerList(r *http.Request, done <-chan struct{}, known int) (list string, ok bool) {
 	for {
 		d.mu.Lock()
 		version, list, changed := d.version, d.list, d.changed
--- a/internal/router/fault_matrix_system_test.go
+++ b/internal/router/fault_matrix_system_test.go
@@ -37,14 +37,14 @@
 )
 
 const (
-	stallTime         = 150 * time.Millisecond // for which the operators may stall a router
-	connectionFaults  = 2                      // connections that one cell resets
-	stallsPerCall     = 2                      // stalls of each kind of call in one cell
-	faultInterval     = 3                      // every so manieth call of a kind has a fault
-	shortCounts       = 400                    // calls that transfer few bytes, in one cell
-	maxShortCount     = 7                      // bytes that such a call transfers at most
-	firstTransfers    = 6                      // of an accepted or dialed connection, that may be short
-	listenerErrorStep = 2                      // every so manieth accept or dial has a fault
+	stallTime            = 150 * time.Millisecond // for which the operators may stall a router
+	connectionFaults     = 2                      // connections that one cell resets
+	stallsPerCall        = 2                      // stalls of each kind of call in one cell
+	faultInterval        = 3                      // every so manieth call of a kind has a fault
+	shortCounts          = 400                    // calls that transfer few bytes, in one cell
+	maxShortCount        = 7                      // bytes that such a call transfers at most
+	firstTransfers       = 6                      // of an accepted or dialed connection, that may be short
+	connectFaultInterval = 2                      // every so manieth accept or dial has a fault
 )
 
 // matrixSystem is a faulty system that knows on which side of the router each connection is, and
@@ -195,11 +195,11 @@
 	case targetConnect:
 		return call == callDial || !peer.isClient && s.isFirstTransfer(call, peer)
 	case targetClientRead:
-		return peer.isClient && isLook(call)
+		return peer.isClient && isReadOrCheck(call)
 	case targetClientWrite:
 		return peer.isClient && call == callWrite
 	case targetUpstreamRead:
-		return !peer.isClient && isLook(call)
+		return !peer.isClient && isReadOrCheck(call)
 	case targetUpstreamWrite:
 		return !peer.isClient && call == callWrite
 	default:
@@ -214,7 +214,7 @@
 
 func isTransfer(call systemCall) bool { return call == callRead || call == callWrite }
 
-func isLook(call systemCall) bool {
+func isReadOrCheck(call systemCall) bool {
 	switch call {
 	case callRead, callPeek, callPoll, callUnacknowledged:
 		return true
@@ -252,16 +252,16 @@
 
 // faultOf returns the fault of the call at the target that has the given number, from 0.
 func (s *matrixSystem) faultOf(call systemCall, peer matrixPeer, number int) *fault {
-	step := faultInterval
+	interval := faultInterval
 	if call == callAccept || call == callDial {
-		step = listenerErrorStep
+		interval = connectFaultInterval
 	}
-	if number%step != step-1 {
+	if number%interval != interval-1 {
 		return s.shortCount(call, number)
 	}
 	switch s.kind {
 	case faultTransient:
-		return &fault{err: transientErrors(call)[number/step%2]}
+		return &fault{err: transientErrors(call)[number/interval%2]}
 	case faultInterrupted:
 		return &fault{err: syscall.EINTR}
 	case faultReset:
--- a/internal/router/fault_matrix_test.go
+++ b/internal/router/fault_matrix_test.go
@@ -12,35 +12,35 @@
 	"marlstage/internal/faulttest"
 )
 
-// situation is what goes on in a cell of the matrix beside the faults.
-type situation string
+// scenario is what goes on in a cell of the matrix beside the faults.
+type scenario string
 
 const (
-	situationCalm         situation = "calm"
-	situationTerminate    situation = "SIGTERM"
-	situationReload       situation = "SIGHUP"
-	situationDrain        situation = "draining caches"
-	situationClientLeaves situation = "client leaves"
+	scenarioCalm         scenario = "calm"
+	scenarioTerminate    scenario = "SIGTERM"
+	scenarioReload       scenario = "SIGHUP"
+	scenarioDrain        scenario = "draining caches"
+	scenarioClientLeaves scenario = "client leaves"
 
 	// In these, connections end by the router's own wish although it goes on.
-	situationEvict       situation = "evicting"
-	situationLateCommand situation = "late first command"
+	scenarioEvict       scenario = "evicting"
+	scenarioLateCommand scenario = "late first command"
 )
 
 const (
-	matrixParallel  = 8                                     // cells that run at once, at most
-	matrixTimeout   = 2500 * time.Millisecond               // of the requests
-	hungTimeout     = 400 * time.Millisecond                // of the requests that no cache answers
-	answerSlack     = 10 * time.Second                      // of the oracle's limit on answers
-	attemptSlack    = 250 * time.Millisecond                // of its limits on attempts
-	matrixLateTime  = 100 * time.Millisecond                // after SIGTERM, in which clients may open connections
-	answerWait      = 20 * time.Second                      // for answers, after which they count as lost
-	retryAfterLeave = 500 * time.Millisecond                // until caches fail the requests of clients that have left
-	minServedShare  = 0.75                                  // of the answers; the rest are rejections and errors
-	answerKinds     = 8                                     // of caches, most of them proper
-	maxResends      = 3                                     // of a request that the router does not read
-	crossingTimeout = matrixLateTime + 300*time.Millisecond // after SIGTERM, for the router to look at a connection
-	pollInterval    = 2 * time.Millisecond                  // between looks at a condition
+	matrixParallel         = 8                                           // cells that run at once, at most
+	matrixTimeout          = 2500 * time.Millisecond                     // of the requests
+	hungTimeout            = 400 * time.Millisecond                      // of the requests that no cache answers
+	answerSlack            = 10 * time.Second                            // of the oracle's limit on answers
+	attemptSlack           = 250 * time.Millisecond                      // of its limits on attempts
+	matrixLateAcceptTime   = 100 * time.Millisecond                      // after SIGTERM, in which clients may open connections
+	answerWait             = 20 * time.Second                            // for answers, after which they count as lost
+	failureDelayAfterLeave = 500 * time.Millisecond                      // until caches fail the requests of clients that have left
+	minServedShare         = 0.75                                        // of the answers; the rest are rejections and errors
+	answerKinds            = 8                                           // of caches, most of them proper
+	maxResends             = 3                                           // of a request that the router does not read
+	crossingTimeout        = matrixLateAcceptTime + 300*time.Millisecond // after SIGTERM, for the router to look at a connection
+	pollInterval           = 2 * time.Millisecond                        // between looks at a condition
 )
 
 var (
@@ -51,8 +51,8 @@
 	faultKinds = []faultKind{
 		faultTransient, faultInterrupted, faultShortCount, faultReset, faultTimeout, faultStall,
 	}
-	situations = []situation{
-		situationCalm, situationTerminate, situationReload, situationDrain, situationClientLeaves,
+	scenarios = []scenario{
+		scenarioCalm, scenarioTerminate, scenarioReload, scenarioDrain, scenarioClientLeaves,
 	}
 )
 
@@ -60,23 +60,23 @@
 // that the router wants to be rid of.
 func TestConnectionEndMatrix(t *testing.T) {
 	runMatrix(t, []faultTarget{targetAccept, targetClientRead, targetClientWrite},
-		[]situation{situationEvict, situationLateCommand})
+		[]scenario{scenarioEvict, scenarioLateCommand})
 }
 
 // TestFaultMatrix runs a router with the real policy through each combination of a fault and a
-// situation, and has the oracle judge every request.
-func TestFaultMatrix(t *testing.T) { runMatrix(t, faultTargets, situations) }
+// scenario, and has the oracle judge every request.
+func TestFaultMatrix(t *testing.T) { runMatrix(t, faultTargets, scenarios) }
 
-func runMatrix(t *testing.T, targets []faultTarget, situations []situation) {
+func runMatrix(t *testing.T, targets []faultTarget, scenarios []scenario) {
 	running := make(chan struct{}, matrixParallel)
 	for _, target := range targets {
 		for _, kind := range faultKinds {
-			for _, situation := range situations {
-				t.Run(fmt.Sprintf("%s/%s/%s", target, kind, situation), func(t *testing.T) {
+			for _, scenario := range scenarios {
+				t.Run(fmt.Sprintf("%s/%s/%s", target, kind, scenario), func(t *testing.T) {
 					t.Parallel()
 					running <- struct{}{}
 					defer func() { <-running }()
-					newMatrixRun(t, target, kind, situation).run()
+					newMatrixRun(t, target, kind, scenario).run()
 				})
 			}
 		}
@@ -86,7 +86,7 @@
 // matrixRun is the run of one cell.
 type matrixRun struct {
 	t         *testing.T
-	situation situation
+	scenario  scenario
 	oracle    *oracle
 	router    *runningRouter
 	system    *matrixSystem
@@ -94,22 +94,22 @@
 	moved     []*matrixDiscovery // where SIGHUP moves discovery to, one after the other
 	caches    []*oracleCache
 
-	arrived  sync.WaitGroup // clients on their way to the situation
-	fired    chan struct{}  // closed when the situation has begun
-	released chan struct{}  // closed when caches answer the requests that they hold back
-	crossed  chan struct{}  // closed when the router ends the resting connection, if it does
+	clientsReady    sync.WaitGroup // clients on their way to the scenario
+	scenarioStarted chan struct{}  // closed when the scenario has begun
+	answersReleased chan struct{}  // closed when caches answer the requests that they hold back
+	crossingStarted chan struct{}  // closed when the router ends the resting connection, if it does
 }
 
 // newMatrixRun starts the router of a cell.
-func newMatrixRun(t *testing.T, target faultTarget, kind faultKind, situation situation) *matrixRun {
+func newMatrixRun(t *testing.T, target faultTarget, kind faultKind, scenario scenario) *matrixRun {
 	t.Helper()
 	m := &matrixRun{
-		t:         t,
-		situation: situation,
-		oracle:    newOracle(oracleSlack{answer: answerSlack, attempt: attemptSlack}),
-		fired:     make(chan struct{}),
-		released:  make(chan struct{}),
-		crossed:   make(chan struct{}),
+		t:               t,
+		scenario:        scenario,
+		oracle:          newOracle(oracleSlack{answer: answerSlack, attempt: attemptSlack}),
+		scenarioStarted: make(chan struct{}),
+		answersReleased: make(chan struct{}),
+		crossingStarted: make(chan struct{}),
 	}
 	m.oracle.stalled = measureStalls(t)
 	for i := range 3 {
@@ -130,9 +130,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv.lateAcceptTime = matrixLateTime
-	srv.commandTimeout = testTimeout // some clients wait for the situation in the middle of a command
-	if situation == situationLateCommand {
+	srv.lateAcceptTime = matrixLateAcceptTime
+	srv.commandTimeout = testTimeout // some clients wait for the scenario in the middle of a command
+	if scenario == scenarioLateCommand {
 		srv.commandTimeout = lateCommandTimeout
 		m.oracle.allowsLateCommands = true
 	}
@@ -143,7 +143,7 @@
 
 // settings adds a class that must not run twice, and has the router watch by itself.
 func (m *matrixRun) settings(in map[string]any) {
-	if m.situation == situationEvict {
+	if m.scenario == scenarioEvict {
 		withMinSockets(in)
 	}
 	settings := in["settings"].(map[string]any)
@@ -167,7 +167,7 @@
 
 // Marks in the ids of requests.
 const (
-	heldMark = "held" // caches hold the answer back until the situation has begun
+	heldMark = "held" // caches hold the answer back until the scenario has begun
 	hungMark = "hung" // caches never answer
 	lostMark = "lost" // the first cache runs it and closes the connection
 )
@@ -179,10 +179,10 @@
 		return cacheAnswer{after: m.t.Context().Done()}
 	}
 	if strings.Contains(id, heldMark) {
-		if m.situation == situationClientLeaves && attempt == 0 {
-			return cacheAnswer{wire: "-ERR failed\r\n", after: m.released}
+		if m.scenario == scenarioClientLeaves && attempt == 0 {
+			return cacheAnswer{wire: "-ERR failed\r\n", after: m.answersReleased}
 		}
-		return cacheAnswer{wire: servedWire(id), after: m.released}
+		return cacheAnswer{wire: servedWire(id), after: m.answersReleased}
 	}
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id)) // never fails
@@ -206,16 +206,16 @@
 	var clients sync.WaitGroup
 	for _, script := range m.scripts() {
 		clients.Add(1)
-		if script.meets {
-			m.arrived.Add(1)
+		if script.reportsReady {
+			m.clientsReady.Add(1)
 		}
 		go func() {
 			defer clients.Done()
 			m.runClient(script)
 		}()
 	}
-	m.await("clients before the situation", &m.arrived)
-	m.fire()
+	m.await("clients before the scenario", &m.clientsReady)
+	m.startScenario()
 	m.await("the clients", &clients)
 	m.checkBudgets()
 	for _, violation := range m.oracle.violations() {
@@ -235,7 +235,7 @@
 	total := served + busy + failed
 	m.t.Logf("%d served, %d rejected, %d failed, %d faults, %d new connections shut unread",
 		served, busy, failed, m.faultCount(), m.oracle.closedUnread())
-	if m.situation != situationLateCommand && float64(served) < minServedShare*float64(total) || served == 0 {
+	if m.scenario != scenarioLateCommand && float64(served) < minServedShare*float64(total) || served == 0 {
 		m.t.Errorf("only %d of %d answers come from a cache, although two of three calls succeed", served, total)
 	}
 }
@@ -260,41 +260,41 @@
 	receive(m.t, done, "end of "+what)
 }
 
-// fire begins the situation and then has the caches answer what they hold back.
-func (m *matrixRun) fire() {
-	release := func() { close(m.released) }
-	if m.situation == situationTerminate {
-		time.AfterFunc(crossingTimeout, m.cross)
+// startScenario begins the scenario and then has the caches answer what they hold back.
+func (m *matrixRun) startScenario() {
+	release := func() { close(m.answersReleased) }
+	if m.scenario == scenarioTerminate {
+		time.AfterFunc(crossingTimeout, m.startCrossing)
 	} else {
-		m.cross()
+		m.startCrossing()
 	}
-	switch m.situation {
-	case situationCalm, situationEvict, situationLateCommand:
-		close(m.fired)
-	case situationTerminate:
+	switch m.scenario {
+	case scenarioCalm, scenarioEvict, scenarioLateCommand:
+		close(m.scenarioStarted)
+	case scenarioTerminate:
 		m.router.stop()
-		close(m.fired)
+		close(m.scenarioStarted)
 		receive(m.t, m.router.srv.closing, "drain")
-	case situationReload:
+	case scenarioReload:
 		for _, moved := range m.moved {
 			m.router.srv.MoveDiscovery(moved.addr)
 		}
-		close(m.fired)
+		close(m.scenarioStarted)
 		receive(m.t, m.moved[len(m.moved)-1].called, "call at the new address")
-	case situationDrain:
+	case scenarioDrain:
 		m.discovery.publish(3, m.endpoints("terminating")...)
-		close(m.fired)
+		close(m.scenarioStarted)
 		m.eventually("the draining state", m.firstCacheDrains)
-	case situationClientLeaves:
-		close(m.fired)
-		time.AfterFunc(retryAfterLeave, release)
+	case scenarioClientLeaves:
+		close(m.scenarioStarted)
+		time.AfterFunc(failureDelayAfterLeave, release)
 		return
 	}
 	release()
 }
 
-// cross has the resting client write, unless the router's look at its connection has.
-func (m *matrixRun) cross() {
+// startCrossing has the resting client write, unless the router's look at its connection has.
+func (m *matrixRun) startCrossing() {
 	if crossing := m.system.crossing.Swap(nil); crossing != nil {
 		close(crossing.write)
 	}
@@ -335,7 +335,7 @@
 func (m *matrixRun) checkBudgets() {
 	m.t.Helper()
 	srv := m.router.srv
-	if m.situation != situationTerminate {
+	if m.scenario != scenarioTerminate {
 		m.eventually("the end of all requests", func() bool {
 			open := make(chan int, 1)
 			srv.loop.post(func() {
--- a/internal/router/oracle_seeded_test.go
+++ b/internal/router/oracle_seeded_test.go
@@ -76,8 +76,8 @@
 // awaitClientEnd waits until the client has closed the connection.
 func (r *seededRouter) awaitClientEnd() { _, _ = io.Copy(io.Discard, r.client) }
 
-// moveClock sets the oracle's clock forward.
-func (r *seededRouter) moveClock(by time.Duration) { r.skew.Add(int64(by)) }
+// advanceClock sets the oracle's clock forward.
+func (r *seededRouter) advanceClock(by time.Duration) { r.skew.Add(int64(by)) }
 
 // seededFault is a fault of a router, and what the oracle has to say to it.
 type seededFault struct {
@@ -143,13 +143,13 @@
 	{name: "late answer", want: "r1: late answer", serve: func(r *seededRouter) {
 		r.serveNext()
 		second := r.forward(r.next(), 0)
-		r.moveClock(seededTimeout + lateReplyAllowance)
+		r.advanceClock(seededTimeout + lateReplyAllowance)
 		r.write(second)
 	}},
 	{name: "forwarded after the client's end", leaves: true, want: "r0: an attempt began", serve: func(r *seededRouter) {
 		cmd := r.next()
 		<-r.left
-		r.moveClock(disconnectGrace)
+		r.advanceClock(disconnectGrace)
 		r.forward(cmd, -disconnectGrace)
 	}},
 	{name: "forwarded after the answer", halfCloseAfter: 2, want: "after the final answer", serve: func(r *seededRouter) {
@@ -163,7 +163,7 @@
 		r.serveNext()
 		cmd := r.next()
 		r.write("-BUSY\r\n")
-		r.moveClock(seededTimeout + timeoutAllowance)
+		r.advanceClock(seededTimeout + timeoutAllowance)
 		r.forward(cmd, -seededTimeout)
 	}},
 	{name: "too long a timeout", want: "r1: a cache was told a timeout", serve: func(r *seededRouter) {
@@ -174,7 +174,7 @@
 		r.serveNext()
 		cmd := r.next()
 		r.forward(cmd, 0)
-		r.moveClock(timeoutAllowance)
+		r.advanceClock(timeoutAllowance)
 		r.write(r.forward(cmd, 0))
 	}},
 	{name: "retry", serve: func(r *seededRouter) {
@@ -261,9 +261,9 @@
 		_ = nc.Close()
 		receive(t, client.ended, "end of the connection")
 	}
-	judged := o.violations()
+	violations := o.violations()
 	_ = nc.Close()
-	wantViolations(t, judged, seeded.want)
+	wantViolations(t, violations, seeded.want)
 }
 
 // wantViolations checks that all violations, and at least one, contain a text; none if it is empty.
--- a/internal/router/truncated_endpoints_test.go
+++ b/internal/router/truncated_endpoints_test.go
@@ -97,13 +97,13 @@
 					settings["rules"].(map[string]any)["askEvery"] = 1_000_000
 				}, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 				r := startRouter(t, cfg)
-				rig := &loopHarness{t: t, loop: r.srv.loop}
+				harness := &loopHarness{t: t, loop: r.srv.loop}
 				for range 3 {
 					if query := receive(t, calls, "call"); !strings.Contains(query, "?after=1&") {
 						t.Errorf("call %s", query)
 					}
 				}
-				rig.do(func() {
+				harness.do(func() {
 					if r.srv.loop.endpointsVersion != 1 || r.srv.loop.pools["c2"] != nil {
 						t.Errorf("the truncated list was accepted: version %d", r.srv.loop.endpointsVersion)
 					}
--- a/internal/router/upstream_write_test.go
+++ b/internal/router/upstream_write_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestSlowWriteIsGivenUp checks that a command is not completed long after the timeout in it was
+// TestSlowWriteIsAborted checks that a command is not completed long after the timeout in it was
 // computed, as the server counts that from the last byte.
-func TestSlowWriteIsGivenUp(t *testing.T) {
+func TestSlowWriteIsAborted(t *testing.T) {
 	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
 	req := largeRequest(harness)
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestWriteFailsForAMoment checks that a first write which fails for want of kernel memory is
+// TestWriteRetriedAfterTransientError checks that a first write which fails for want of kernel memory is
 // repeated on the same connection, and says nothing about the server.
-func TestWriteFailsForAMoment(t *testing.T) {
+func TestWriteRetriedAfterTransientError(t *testing.T) {
 	for _, err := range []error{unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EINTR} {
 		t.Run(err.Error(), func(t *testing.T) {
 			cache := newFakeCache(t)
@@ -188,8 +188,8 @@
 	receive(t, cache.closed, "end of the connection")
 }
 
-// TestReadFailsForAMoment checks that a read which fails for want of kernel memory is repeated.
-func TestReadFailsForAMoment(t *testing.T) {
+// TestReadRetriedAfterTransientError checks that a read which fails for want of kernel memory is repeated.
+func TestReadRetriedAfterTransientError(t *testing.T) {
 	for _, err := range []error{unix.ENOMEM, unix.ENOBUFS, unix.EINTR} {
 		t.Run(err.Error(), func(t *testing.T) {
 			cache := newFakeCache(t)
@@ -204,9 +204,9 @@
 	}
 }
 
-// TestLookFailsForAMoment checks that a new connection is used once the system can tell again
+// TestPeekRetriedAfterTransientError checks that a new connection is used once the system can tell again
 // whether anything has arrived on it. That it can't says nothing about the server.
-func TestLookFailsForAMoment(t *testing.T) {
+func TestPeekRetriedAfterTransientError(t *testing.T) {
 	for _, err := range []error{unix.ENOMEM, unix.ENOBUFS, unix.EINTR} {
 		t.Run(err.Error(), func(t *testing.T) {
 			cache := newFakeCache(t)
--- a/internal/router/wall_clock_test.go
+++ b/internal/router/wall_clock_test.go
@@ -53,9 +53,9 @@
 		name, addr, time.Now().Add(-age).UnixMilli())
 }
 
-// TestStartIsNewsWhateverTheWallClockSays: a server whose start is listed while the router watches is cold, also if
+// TestNewStartIsRecentDespiteWrongWallClock: a server whose start is listed while the router watches is cold, also if
 // the wall clock was off when the router started. Servers that were listed before stay as warm as they were.
-func TestStartIsNewsWhateverTheWallClockSays(t *testing.T) {
+func TestNewStartIsRecentDespiteWrongWallClock(t *testing.T) {
 	for _, offset := range []policy.Time{-hour, -5_000_000, 0, 1_000_000, 5_000_000, hour} {
 		t.Run(time.Duration(offset*1000).String(), func(t *testing.T) {
 			addr, calls := newFakeDiscovery(t)
--- a/internal/router/watch_retry_test.go
+++ b/internal/router/watch_retry_test.go
@@ -60,8 +60,8 @@
 	return fmt.Errorf("call: %w", &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)})
 }
 
-// suffersOutage fails watches until the policy has reached its longest backoff.
-func suffersOutage(t *testing.T, l *eventLoop) {
+// failWatchesToMaxBackoff fails watches until the policy has reached its longest backoff.
+func failWatchesToMaxBackoff(t *testing.T, l *eventLoop) {
 	t.Helper()
 	for range 10 {
 		failOpenWatch(t, l, dialError(unix.ECONNREFUSED))
@@ -72,10 +72,10 @@
 // have begun nearly as late as the notification deadline allows.
 const maxQuickDelay policy.Time = 250_000
 
-// TestWatchFollowsSoonIfServiceMayBeWithinReach: after an outage the first call may begin 5 s after the service is back.
+// TestWatchRetriesSoonIfDiscoveryMayBeReachable: after an outage the first call may begin 5 s after the service is back.
 // If that one fails on this machine, or is answered by something that can't be used, the next must not wait as long
 // again.
-func TestWatchFollowsSoonIfServiceMayBeWithinReach(t *testing.T) {
+func TestWatchRetriesSoonIfDiscoveryMayBeReachable(t *testing.T) {
 	for _, err := range []error{
 		dialError(unix.ENOBUFS), dialError(unix.EADDRNOTAVAIL), dialError(unix.ENETUNREACH), dialError(unix.EMFILE),
 		dialError(unix.ENFILE), dialError(unix.ENOMEM),
@@ -85,17 +85,17 @@
 		io.ErrUnexpectedEOF, discovery.ErrOutOfOrder,
 	} {
 		l := newStoppedLoop(t, nil)
-		suffersOutage(t, l)
+		failWatchesToMaxBackoff(t, l)
 		if delay := failOpenWatch(t, l, err); delay > maxQuickDelay {
 			t.Errorf("%v: the next watch follows after %d us", err, delay)
 		}
 	}
 }
 
-// TestBrokenAnswersDoNotCrowdDiscovery: a service that keeps breaking off is called at the policy's pace in the end.
-func TestBrokenAnswersDoNotCrowdDiscovery(t *testing.T) {
+// TestRepeatedBrokenRepliesBackOff: a service that keeps breaking off is called at the policy's pace in the end.
+func TestRepeatedBrokenRepliesBackOff(t *testing.T) {
 	l := newStoppedLoop(t, nil)
-	suffersOutage(t, l)
+	failWatchesToMaxBackoff(t, l)
 	begun := l.now
 	const calls = 60
 	for range calls {
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestLocalFaultsDoNotSpin: while no connection can be made on this machine, watches follow at a moderate pace.
-func TestLocalFaultsDoNotSpin(t *testing.T) {
+// TestLocalErrorsDoNotCauseRapidRetries: while no connection can be made on this machine, watches follow at a moderate pace.
+func TestLocalErrorsDoNotCauseRapidRetries(t *testing.T) {
 	l := newStoppedLoop(t, nil)
 	begun := l.now
 	const calls = 60
@@ -124,7 +124,7 @@
 func TestMovedDiscoveryIsCalledUntilItAnswers(t *testing.T) {
 	for _, err := range []error{dialError(unix.ECONNREFUSED), &discovery.StatusError{Code: 503}, context.DeadlineExceeded} {
 		l := newStoppedLoop(t, nil)
-		suffersOutage(t, l)
+		failWatchesToMaxBackoff(t, l)
 		moved := *l.cfg
 		moved.Discovery = "127.0.0.1:2"
 		l.moveDiscovery(&moved)
