--- a/internal/router/fault_matrix_clients_test.go
+++ b/internal/router/fault_matrix_clients_test.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	followingBatches   = 4                      // of a client after the scenario has begun
-	crowdSize          = 30                     // clients that take turns at few descriptors
-	maxCrowdResends    = 100                    // of a request in a crowd
-	crowdBatches       = 4                      // of each of them
+	followingBatches   = 4                      // batches of a client after the scenario has started
+	crowdSize          = 30                     // clients that compete for few descriptors
+	maxCrowdResends    = 100                    // resends of one request where descriptors are few
+	crowdBatches       = 4                      // batches of each client that competes for descriptors
 	lateClients        = 40                     // clients that send their first command late
-	lateCommandTimeout = 100 * time.Millisecond // for a first command, where clients send theirs about then
-	lateCommandSpread  = 20 * time.Millisecond  // over which their first commands are spread
+	lateCommandTimeout = 100 * time.Millisecond // limit for the first command, close to which clients send theirs
+	lateCommandSpread  = 20 * time.Millisecond  // period over which these first commands are spread
 )
 
-// clientScript is what a client of the matrix does.
+// clientScript describes what a client of the matrix does.
 type clientScript struct {
 	name          string
 	batches       []requestBatch
-	connectsFirst bool                  // it connects before its first batch may be written
-	reportsReady  bool                  // it is waited for before the scenario begins
-	leave         func(c *oracleClient) // if not nil, how it leaves over its last batch instead of waiting
+	connectsFirst bool                  // connects before it waits for the start of its first batch
+	reportsReady  bool                  // the scenario starts only after this client has reported ready
+	leave         func(c *oracleClient) // if not nil, how it leaves without awaiting its last batch
 }
 
-// requestBatch is a number of requests that a client writes at once, and whose answers it awaits.
+// requestBatch is a number of requests that a client writes at once and whose answers it awaits.
 type requestBatch struct {
 	class            string
 	size             int
-	inPieces         bool          // the first request comes in two, between which the scenario begins if it meets
-	hung             bool          // no cache ever answers it, and the client waits for a short time
-	held             bool          // caches hold back the answer to one of them
+	inPieces         bool          // the first request is written in two parts; see pause
+	hung             bool          // no cache ever answers, and the requests have a short timeout
+	held             bool          // caches hold back the answer to one of the requests
 	start            chan struct{} // if not nil, closed when the batch may be written
-	readyOnceWritten bool          // the scenario begins once the batch is written
-	crossesClose     bool          // it is written when the router looks at the connection before it ends it
+	readyOnceWritten bool          // the client reports ready once the batch is written
+	crossesClose     bool          // written after the last check of the connection before the router closes it
 }
 
-// repeated returns so many batches of one kind.
+// repeated returns the given number of copies of a batch.
 func repeated(count int, batch requestBatch) (batches []requestBatch) {
 	for range count {
 		batches = append(batches, batch)
@@ -69,7 +69,9 @@
 	return scripts
 }
 
-// script returns a client that sends some batches, one that the scenario finds in flight, and more.
+// script returns a client that sends some batches before the scenario, one after which it reports
+// ready, and more once the scenario has started. If inFlight is set, caches hold back an answer to the
+// batch after which it reports ready.
 func (m *matrixRun) script(name string, batch requestBatch, before int, inFlight bool) clientScript {
 	batches := repeated(before, batch)
 	atStart := batch
@@ -84,8 +86,8 @@
 	return clientScript{name: name, batches: append(batches, repeated(count, following)...), reportsReady: true}
 }
 
-// restingScript returns a client whose connection is at rest when the scenario begins, and which
-// sends as the router is ending the connection, if it does.
+// restingScript returns a client whose connection is idle when the scenario starts, and which sends
+// while the router is closing the connection, if it does.
 func (m *matrixRun) restingScript() clientScript {
 	return clientScript{name: "resting", reportsReady: true, batches: []requestBatch{
 		{class: classRead, size: 1},
@@ -94,7 +96,7 @@
 	}}
 }
 
-// crowdScripts returns more clients than there are descriptors.
+// crowdScripts returns clients for more connections than there are descriptors.
 func (m *matrixRun) crowdScripts() (scripts []clientScript) {
 	for i := range crowdSize {
 		scripts = append(scripts, clientScript{
@@ -105,7 +107,7 @@
 	return scripts
 }
 
-// lateCommandScripts returns clients that send their first command as the time for it ends.
+// lateCommandScripts returns clients that send their first command close to the limit for it.
 func (m *matrixRun) lateCommandScripts() (scripts []clientScript) {
 	for i := range lateClients {
 		begins := make(chan struct{})
@@ -120,8 +122,8 @@
 	return scripts
 }
 
-// leavingScripts returns clients that leave while their requests are in flight, or at once after
-// writing them.
+// leavingScripts returns clients that leave while their requests are in flight, or as soon as they have
+// written them.
 func (m *matrixRun) leavingScripts() (scripts []clientScript) {
 	leave := map[string]func(*oracleClient){"close": (*oracleClient).close, "reset": (*oracleClient).reset}
 	for how, leave := range leave {
@@ -140,16 +142,16 @@
 	return scripts
 }
 
-// matrixSession is a client with its present connection.
+// matrixSession is a running client and its current connection.
 type matrixSession struct {
 	run    *matrixRun
 	script clientScript
 	client *oracleClient
-	sent   int  // requests on the present connection
-	ready  bool // the scenario need not wait for the client any more
+	sent   int  // requests on the current connection
+	ready  bool // the client has reported ready
 }
 
-// runClient plays a client.
+// runClient runs a client until its last batch, or until the router takes no more connections.
 func (m *matrixRun) runClient(script clientScript) {
 	s := &matrixSession{run: m, script: script}
 	defer s.reportReady()
@@ -174,8 +176,9 @@
 	}
 }
 
-// awaitCrossing lets the scenario begin and waits for the router to look at the connection before it
-// ends it. It reports false if the router takes no more connections.
+// awaitCrossing reports ready and waits until the client may write: after the router's last check of the
+// connection before it closes it, or once startCrossing is called. It reports false if the router takes
+// no more connections.
 func (s *matrixSession) awaitCrossing() bool {
 	if !s.connect() {
 		return false
@@ -186,7 +189,7 @@
 	return true
 }
 
-// reportReady lets the scenario begin, as far as this client is concerned.
+// reportReady tells the cell, once, that the scenario need not wait for this client any more.
 func (s *matrixSession) reportReady() {
 	if s.script.reportsReady && !s.ready {
 		s.ready = true
@@ -194,8 +197,8 @@
 	}
 }
 
-// runBatch sends a batch and awaits its answers, with what the router did not read sent again. It
-// reports false if the router takes no more connections.
+// runBatch sends a batch and awaits its answers. Requests that the router did not read are sent again.
+// It reports false if the router takes no more connections.
 func (s *matrixSession) runBatch(number int, batch requestBatch, last bool) bool {
 	requests := s.newRequests(number, batch)
 	for range 1 + s.maxResends() {
@@ -232,7 +235,8 @@
 	return true
 }
 
-// maxResends returns how often a request may be sent again. Few descriptors can be shut unread often.
+// maxResends returns how often a request may be sent again. Where descriptors are few, the router often
+// closes connections unread.
 func (s *matrixSession) maxResends() int {
 	if s.run.scenario == scenarioEvict {
 		return maxCrowdResends
@@ -240,8 +244,9 @@
 	return maxResends
 }
 
-// pause returns what the client does in the middle of the first request, or nil if it does not stop
-// there.
+// pause returns the function that the client calls between the two parts of its first request, or nil
+// if it writes the request at once. A client that is to report ready does so between the two parts, and
+// waits there until caches may send the answers that they hold back.
 func (s *matrixSession) pause(batch requestBatch) func() {
 	switch {
 	case !batch.inPieces:
@@ -275,7 +280,8 @@
 	return requests
 }
 
-// requestsToResend returns the requests that are to be sent again on a new connection, as new ones.
+// requestsToResend returns new requests for those that the router did not read, to be sent on a new
+// connection.
 func (s *matrixSession) requestsToResend(requests []*oracleRequest) (again []*oracleRequest) {
 	for _, r := range s.run.oracle.unread(s.client.conn, requests) {
 		again = append(again, &oracleRequest{id: r.id + "-again", class: r.class, timeout: r.timeout})
@@ -283,7 +289,7 @@
 	return again
 }
 
-// connect opens a connection unless one is open. It reports false if the router takes no more.
+// connect opens a connection unless one is open. It reports false if the router takes no more connections.
 func (s *matrixSession) connect() bool {
 	if s.client != nil && !s.client.hasEnded() {
 		return true
--- a/internal/router/fault_matrix_discovery_test.go
+++ b/internal/router/fault_matrix_discovery_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	discoveryFaultInterval = 2 // every so manieth call of discovery has a fault
-	discoveryFaults        = 3 // in one cell
-	discoveryHangs         = 1 // calls that are never answered, in one cell
+	discoveryFaultInterval = 2 // one of this many discovery calls has a fault
+	discoveryFaults        = 3 // maximum number of faults in one cell
+	discoveryHangs         = 1 // maximum number of calls in one cell that are never answered
 )
 
-// matrixDiscovery is a discovery service with faults. A watch is answered when there is a newer list
-// than the caller's.
+// matrixDiscovery is a discovery service with faults. It answers a watch once it has a newer list than
+// the caller.
 type matrixDiscovery struct {
 	addr string
 	kind faultKind // empty for none
@@ -26,7 +26,7 @@
 	mu      sync.Mutex
 	version int
 	list    string
-	changed chan struct{} // closed with the next list
+	changed chan struct{} // closed when the next list is published
 	calls   int
 	faults  int
 	called  chan struct{} // closed at the first call
@@ -40,7 +40,7 @@
 	return d
 }
 
-// publish replaces the list and answers the watches.
+// publish replaces the list and lets the open watches be answered.
 func (d *matrixDiscovery) publish(version int, endpoints ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +53,7 @@
 func (d *matrixDiscovery) serve(w http.ResponseWriter, r *http.Request, done <-chan struct{}) {
 	known, err := strconv.Atoi(r.URL.Query().Get("after"))
 	if err != nil {
-		known = -1 // a call for the complete list
+		known = -1 // the call asks for the complete list
 	}
 	faulty := d.countCall()
 	if faulty && d.kind == faultTimeout {
@@ -97,7 +97,7 @@
 	return d.faults
 }
 
-// awaitNewerList waits for a list that is newer than the known one.
+// awaitNewerList waits for a list that is newer than the known one. It reports false if the call ends first.
 func (d *matrixDiscovery) awaitNewerList(r *http.Request, done <-chan struct{}, known int) (list string, ok bool) {
 	for {
 		d.mu.Lock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// answerWithFault answers a call with the list, spoilt.
+// answerWithFault answers a call with an error status or with a list that the service's fault damages.
 func (d *matrixDiscovery) answerWithFault(w http.ResponseWriter, list string) {
 	if d.kind == faultTransient {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -134,10 +134,10 @@
 	head := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
 	half := list[:len(list)/2]
 	switch d.kind {
-	case faultInterrupted: // a call that ends before it is answered
-	case faultShortCount: // a body that is cut off
+	case faultInterrupted: // the connection is closed without an answer
+	case faultShortCount: // the body is truncated
 		write(fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(list), half))
-	case faultReset: // without a length, so that only the reset tells that the body is not whole
+	case faultReset: // without Content-Length, so that only the reset shows that the body is incomplete
 		write(head + "Connection: close\r\n\r\n" + half)
 		if tcp, ok := nc.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
--- a/internal/router/fault_matrix_system_test.go
+++ b/internal/router/fault_matrix_system_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultTarget is where the faults of a cell of the matrix happen.
+// faultTarget is the kind of calls that fail in a cell of the matrix.
 type faultTarget string
 
 const (
@@ -24,7 +24,7 @@
 	targetDiscovery     faultTarget = "discovery"
 )
 
-// faultKind is what happens there.
+// faultKind is what goes wrong in these calls.
 type faultKind string
 
 const (
@@ -37,40 +37,40 @@
 )
 
 const (
-	stallTime            = 150 * time.Millisecond // for which the operators may stall a router
-	connectionFaults     = 2                      // connections that one cell resets
-	stallsPerCall        = 2                      // stalls of each kind of call in one cell
-	faultInterval        = 3                      // every so manieth call of a kind has a fault
-	shortCounts          = 400                    // calls that transfer few bytes, in one cell
-	maxShortCount        = 7                      // bytes that such a call transfers at most
-	firstTransfers       = 6                      // of an accepted or dialed connection, that may be short
-	connectFaultInterval = 2                      // every so manieth accept or dial has a fault
+	stallTime            = 150 * time.Millisecond // of a stall; operators may stall a router for this long
+	connectionFaults     = 2                      // connections that are broken in one cell, for each kind of call
+	stallsPerCall        = 2                      // stalls in one cell, for each kind of call
+	faultInterval        = 3                      // one of this many calls of a kind has a fault
+	shortCounts          = 400                    // short reads or writes in one cell, for each of the two
+	maxShortCount        = 7                      // maximum number of bytes of a short read or write
+	firstTransfers       = 6                      // transfers of a new connection that may be short
+	connectFaultInterval = 2                      // one of this many accepts or dials has a fault
 )
 
-// matrixSystem is a faulty system that knows on which side of the router each connection is, and
-// reports to the oracle what the router reads and writes.
+// matrixSystem is a faulty system that knows which connections are to clients and which to caches. It
+// reports to the oracle what the router reads from clients and writes to caches.
 type matrixSystem struct {
 	*faultySystem
 	oracle *oracle
 	target faultTarget
 	kind   faultKind
 
-	crossing atomic.Pointer[closeCrossing] // nil if no client waits to cross a close
+	crossing atomic.Pointer[closeCrossing] // nil if no client waits for a close to cross
 
 	mu     sync.Mutex
 	peers  map[int]*matrixPeer // by descriptor
-	counts map[systemCall]int  // calls at the target
-	faults map[systemCall]int  // of these, calls with a fault
+	counts map[systemCall]int  // calls of the target
+	faults map[systemCall]int  // those of them that had a fault
 }
 
-// matrixPeer is the far side of a connection of the router.
+// matrixPeer is the peer of one of the router's connections.
 type matrixPeer struct {
 	isClient  bool
-	addr      string // of the client's side, or the upstreamKey of a connection to a cache
+	addr      string // the client's address, or the upstreamKey of a connection to a cache
 	transfers int    // reads and writes so far
 }
 
-// useMatrixSystem has a server that does not run yet make its system calls with the faults of a cell.
+// useMatrixSystem makes a server that has not been started use system calls with the faults of a cell.
 func useMatrixSystem(srv *Server, o *oracle, target faultTarget, kind faultKind) *matrixSystem {
 	s := &matrixSystem{
 		faultySystem: useFaultySystem(srv),
@@ -104,11 +104,11 @@
 	return nc, err
 }
 
-// register notes the far side of a connection that the router does not use yet.
+// register records the peer of a connection that the router does not use yet.
 func (s *matrixSystem) register(nc net.Conn, peer *matrixPeer) {
 	raw, err := nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		return // the router sees the same error
+		return // the router gets the same error
 	}
 	_ = raw.Control(func(fd uintptr) { // fails only if the connection is closed
 		s.mu.Lock()
@@ -144,15 +144,15 @@
 	return n, err
 }
 
-// closeCrossing is a client that is to write just after the router has seen that nothing has arrived
-// from it.
+// closeCrossing tells a client to write just after the router's check of the connection has found
+// nothing to read.
 type closeCrossing struct {
-	addr  string        // of the client's side
-	write chan struct{} // closed when it is to write
+	addr  string        // the client's address
+	write chan struct{} // closed when the client is to write
 }
 
-// Peek implements socket.System. If a client is to cross the close of its connection, it does so
-// behind this look.
+// Peek implements socket.System. If a client is to write while the router closes its connection, Peek
+// lets it write after it has found nothing, and waits until its bytes have arrived.
 func (s *matrixSystem) Peek(fd int, b []byte) (int, error) {
 	n, err := s.faultySystem.Peek(fd, b)
 	crossing := s.crossing.Load()
@@ -167,8 +167,8 @@
 	return n, err
 }
 
-// awaitBytes waits until something has arrived on a connection from a client, or has already been
-// read beyond the given number of bytes.
+// awaitBytes waits until unread bytes have arrived from a client, or the router has read more than the
+// given number of bytes from it.
 func (s *matrixSystem) awaitBytes(fd int, addr string, read int64) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -186,8 +186,9 @@
 	}
 }
 
-// isAtTarget reports whether a call is one of those that the cell disturbs. Looks at a connection go
-// with its reads. A short count of accept or connect is one of the first transfers thereafter.
+// isAtTarget reports whether a call is one of those that may have a fault in this cell. Checks of a
+// connection count as reads. As accepts and dials have no byte counts, their short counts are those of
+// the first reads and writes of the new connection.
 func (s *matrixSystem) isAtTarget(call systemCall, peer matrixPeer) bool {
 	switch s.target {
 	case targetAccept:
@@ -207,13 +208,15 @@
 	}
 }
 
-// isFirstTransfer reports whether a call is a transfer that is short because the connection is new.
+// isFirstTransfer reports whether a call may be short because it is one of the first transfers of its
+// connection.
 func (s *matrixSystem) isFirstTransfer(call systemCall, peer matrixPeer) bool {
 	return s.kind == faultShortCount && isTransfer(call) && peer.transfers < firstTransfers
 }
 
 func isTransfer(call systemCall) bool { return call == callRead || call == callWrite }
 
+// isReadOrCheck reports whether a call reads from a connection or checks its state without reading.
 func isReadOrCheck(call systemCall) bool {
 	switch call {
 	case callRead, callPeek, callPoll, callUnacknowledged:
@@ -229,7 +232,7 @@
 	defer s.mu.Unlock()
 	known, isConn := s.peers[fd]
 	if !isConn && call != callAccept && call != callDial {
-		return nil // a look at the listener
+		return nil // a call on the listener
 	}
 	var peer matrixPeer
 	if isConn {
@@ -250,7 +253,7 @@
 	return f
 }
 
-// faultOf returns the fault of the call at the target that has the given number, from 0.
+// faultOf returns the fault of a call of the target, or nil. The number counts such calls from 0.
 func (s *matrixSystem) faultOf(call systemCall, peer matrixPeer, number int) *fault {
 	interval := faultInterval
 	if call == callAccept || call == callDial {
@@ -283,7 +286,7 @@
 	return end
 }
 
-// shortCount has reads and writes transfer few bytes where the cell says so.
+// shortCount returns a short count for a read or write if the cell has these faults, or nil.
 func (s *matrixSystem) shortCount(call systemCall, number int) *fault {
 	if s.kind != faultShortCount || !isTransfer(call) || s.faults[call] >= shortCounts {
 		return nil
@@ -291,7 +294,7 @@
 	return &fault{maxBytes: 1 + number%maxShortCount}
 }
 
-// transientErrors returns two errors of a call that are over when the call is repeated.
+// transientErrors returns two errors of a call that do not occur again when the call is repeated.
 func transientErrors(call systemCall) [2]error {
 	switch call {
 	case callAccept:
@@ -303,8 +306,9 @@
 	}
 }
 
-// connectionError breaks a connection: the client's side too, as the call alone would leave a client
-// connected. Looks at a connection do not return such errors.
+// connectionError returns an error that ends a connection, or nil. It breaks the connection on the
+// client's side too, as the error of the call alone would leave the client connected. Calls that check a
+// connection do not return such errors.
 func (s *matrixSystem) connectionError(call systemCall, peer matrixPeer, err error) *fault {
 	if s.faults[call] >= connectionFaults || call == callPeek || call == callPoll || call == callUnacknowledged {
 		return nil
--- a/internal/router/fault_matrix_test.go
+++ b/internal/router/fault_matrix_test.go
@@ -12,7 +12,7 @@
 	"marlstage/internal/faulttest"
 )
 
-// scenario is what goes on in a cell of the matrix beside the faults.
+// scenario is what happens in a cell of the matrix in addition to the faults.
 type scenario string
 
 const (
@@ -22,25 +22,30 @@
 	scenarioDrain        scenario = "draining caches"
 	scenarioClientLeaves scenario = "client leaves"
 
-	// In these, connections end by the router's own wish although it goes on.
+	// In these scenarios the router closes client connections of its own accord and keeps running.
 	scenarioEvict       scenario = "evicting"
 	scenarioLateCommand scenario = "late first command"
 )
 
 const (
-	matrixParallel         = 8                                           // cells that run at once, at most
-	matrixTimeout          = 2500 * time.Millisecond                     // of the requests
-	hungTimeout            = 400 * time.Millisecond                      // of the requests that no cache answers
-	answerSlack            = 10 * time.Second                            // of the oracle's limit on answers
-	attemptSlack           = 250 * time.Millisecond                      // of its limits on attempts
-	matrixLateAcceptTime   = 100 * time.Millisecond                      // after SIGTERM, in which clients may open connections
-	answerWait             = 20 * time.Second                            // for answers, after which they count as lost
-	failureDelayAfterLeave = 500 * time.Millisecond                      // until caches fail the requests of clients that have left
-	minServedShare         = 0.75                                        // of the answers; the rest are rejections and errors
-	answerKinds            = 8                                           // of caches, most of them proper
-	maxResends             = 3                                           // of a request that the router does not read
-	crossingTimeout        = matrixLateAcceptTime + 300*time.Millisecond // after SIGTERM, for the router to look at a connection
-	pollInterval           = 2 * time.Millisecond                        // between looks at a condition
+	matrixParallel       = 8                       // maximum number of cells that run at once
+	matrixTimeout        = 2500 * time.Millisecond // timeout of the requests
+	hungTimeout          = 400 * time.Millisecond  // timeout of the requests that no cache answers
+	answerSlack          = 10 * time.Second        // added to the oracle's limit on answers
+	attemptSlack         = 250 * time.Millisecond  // added to its limits on attempts
+	matrixLateAcceptTime = 100 * time.Millisecond  // time after SIGTERM in which clients may still connect
+	answerWait           = 20 * time.Second        // wait for answers, after which they count as lost
+	minServedShare       = 0.75                    // share of served answers; others are rejections and errors
+	answerKinds          = 8                       // hash values that select an answer, mostly a correct one
+	maxResends           = 3                       // resends of one request that the router did not read
+	pollInterval         = 2 * time.Millisecond    // between checks of a condition
+
+	// failureDelayAfterLeave is how long caches wait, after clients have left, before they fail their requests.
+	failureDelayAfterLeave = 500 * time.Millisecond
+
+	// crossingTimeout is how long the resting client waits after SIGTERM for the router to check its
+	// connection. It then writes without that check.
+	crossingTimeout = matrixLateAcceptTime + 300*time.Millisecond
 )
 
 var (
@@ -56,15 +61,15 @@
 	}
 )
 
-// TestConnectionEndMatrix is the part of the matrix in which requests cross the end of a connection
-// that the router wants to be rid of.
+// TestConnectionEndMatrix runs the cells in which requests arrive while the router closes their
+// connection to free its descriptor, or because the first command is late.
 func TestConnectionEndMatrix(t *testing.T) {
 	runMatrix(t, []faultTarget{targetAccept, targetClientRead, targetClientWrite},
 		[]scenario{scenarioEvict, scenarioLateCommand})
 }
 
-// TestFaultMatrix runs a router with the real policy through each combination of a fault and a
-// scenario, and has the oracle judge every request.
+// TestFaultMatrix runs a router with the real policy in each combination of a fault and a scenario.
+// The oracle checks every request.
 func TestFaultMatrix(t *testing.T) { runMatrix(t, faultTargets, scenarios) }
 
 func runMatrix(t *testing.T, targets []faultTarget, scenarios []scenario) {
@@ -83,7 +88,7 @@
 	}
 }
 
-// matrixRun is the run of one cell.
+// matrixRun is the state of one running cell.
 type matrixRun struct {
 	t         *testing.T
 	scenario  scenario
@@ -91,16 +96,16 @@
 	router    *runningRouter
 	system    *matrixSystem
 	discovery *matrixDiscovery
-	moved     []*matrixDiscovery // where SIGHUP moves discovery to, one after the other
+	moved     []*matrixDiscovery // the services that SIGHUP moves the router to, in order
 	caches    []*oracleCache
 
-	clientsReady    sync.WaitGroup // clients on their way to the scenario
-	scenarioStarted chan struct{}  // closed when the scenario has begun
-	answersReleased chan struct{}  // closed when caches answer the requests that they hold back
-	crossingStarted chan struct{}  // closed when the router ends the resting connection, if it does
+	clientsReady    sync.WaitGroup // clients that the start of the scenario waits for
+	scenarioStarted chan struct{}  // closed when the scenario has started
+	answersReleased chan struct{}  // closed when caches may send the answers that they hold back
+	crossingStarted chan struct{}  // closed when the client on the resting connection may write
 }
 
-// newMatrixRun starts the router of a cell.
+// newMatrixRun starts the router, the caches and the discovery services of a cell.
 func newMatrixRun(t *testing.T, target faultTarget, kind faultKind, scenario scenario) *matrixRun {
 	t.Helper()
 	m := &matrixRun{
@@ -131,7 +136,7 @@
 		t.Fatal(err)
 	}
 	srv.lateAcceptTime = matrixLateAcceptTime
-	srv.commandTimeout = testTimeout // some clients wait for the scenario in the middle of a command
+	srv.commandTimeout = testTimeout // some clients wait in the middle of a command until the scenario starts
 	if scenario == scenarioLateCommand {
 		srv.commandTimeout = lateCommandTimeout
 		m.oracle.allowsLateCommands = true
@@ -141,7 +146,7 @@
 	return m
 }
 
-// settings adds a class that must not run twice, and has the router watch by itself.
+// settings adds a class whose requests must not run twice, and lets the router start the watch itself.
 func (m *matrixRun) settings(in map[string]any) {
 	if m.scenario == scenarioEvict {
 		withMinSockets(in)
@@ -155,7 +160,7 @@
 	settings["categories"] = append(settings["categories"].([]any), once)
 }
 
-// endpoints lists the caches, the first of them with the given status.
+// endpoints returns the endpoint list of the caches, the first of them with the given status.
 func (m *matrixRun) endpoints(first string) (list []string) {
 	status := first
 	for _, c := range m.caches {
@@ -167,13 +172,13 @@
 
 // Marks in the ids of requests.
 const (
-	heldMark = "held" // caches hold the answer back until the scenario has begun
+	heldMark = "held" // caches hold the answer back until the scenario has started
 	hungMark = "hung" // caches never answer
-	lostMark = "lost" // the first cache runs it and closes the connection
+	lostMark = "lost" // the first cache runs the request and closes the connection
 )
 
-// answer is how the caches answer an attempt: some first ones fail, so that requests are retried, and
-// some are answered twice.
+// answer returns a cache's answer to an attempt. Some first attempts fail, so that their requests are
+// retried, and some are answered twice.
 func (m *matrixRun) answer(id string, attempt int) cacheAnswer {
 	if strings.Contains(id, hungMark) {
 		return cacheAnswer{after: m.t.Context().Done()}
@@ -194,14 +199,14 @@
 		return cacheAnswer{}
 	case choice == 1:
 		return cacheAnswer{wire: "-ERR failed\r\n"}
-	case choice == 2: // a second answer that belongs to no request
+	case choice == 2: // followed by a second answer, which belongs to no request
 		return cacheAnswer{wire: servedWire(id) + servedWire(id)}
 	default:
 		return cacheAnswer{wire: servedWire(id)}
 	}
 }
 
-// run plays the cell and checks what the oracle has seen.
+// run runs the clients and the scenario of the cell and reports what the oracle found.
 func (m *matrixRun) run() {
 	var clients sync.WaitGroup
 	for _, script := range m.scripts() {
@@ -227,13 +232,13 @@
 	}
 }
 
-// checkAnswers checks that the faults did not cost most requests their answers from a cache. Clients
-// that send late may get errors for it.
+// checkAnswers checks that most requests were served despite the faults. Clients that send their first
+// command late may get errors instead.
 func (m *matrixRun) checkAnswers() {
 	m.t.Helper()
 	served, busy, failed := m.oracle.answerCounts()
 	total := served + busy + failed
-	m.t.Logf("%d served, %d rejected, %d failed, %d faults, %d new connections shut unread",
+	m.t.Logf("%d served, %d rejected, %d failed, %d faults, %d new connections closed unread",
 		served, busy, failed, m.faultCount(), m.oracle.closedUnread())
 	if m.scenario != scenarioLateCommand && float64(served) < minServedShare*float64(total) || served == 0 {
 		m.t.Errorf("only %d of %d answers come from a cache, although two of three calls succeed", served, total)
@@ -249,7 +254,7 @@
 	return total
 }
 
-// await waits for a group.
+// await waits until all members of a group are done.
 func (m *matrixRun) await(what string, group *sync.WaitGroup) {
 	m.t.Helper()
 	done := make(chan struct{})
@@ -260,7 +265,7 @@
 	receive(m.t, done, "end of "+what)
 }
 
-// startScenario begins the scenario and then has the caches answer what they hold back.
+// startScenario starts the scenario and then lets the caches send the answers that they hold back.
 func (m *matrixRun) startScenario() {
 	release := func() { close(m.answersReleased) }
 	if m.scenario == scenarioTerminate {
@@ -293,15 +298,16 @@
 	release()
 }
 
-// startCrossing has the resting client write, unless the router's look at its connection has.
+// startCrossing lets the client on the resting connection write, unless the router's check of that
+// connection has already done so.
 func (m *matrixRun) startCrossing() {
 	if crossing := m.system.crossing.Swap(nil); crossing != nil {
 		close(crossing.write)
 	}
 }
 
-// firstCacheDrains reports whether the router knows that the first cache drains, and tells the
-// oracle so before the router can begin another attempt.
+// firstCacheDrains reports whether the router knows that the first cache drains. If so, it tells the
+// oracle before the router can start another attempt.
 func (m *matrixRun) firstCacheDrains() bool {
 	drains := make(chan bool, 1)
 	m.router.srv.loop.post(func() {
@@ -312,7 +318,7 @@
 		}
 		drains <- draining
 	})
-	return receive(m.t, drains, "look at a pool")
+	return receive(m.t, drains, "state of a pool")
 }
 
 // eventually waits until a condition holds.
@@ -331,7 +337,8 @@
 	}
 }
 
-// checkBudgets stops the router and checks that it has given back all that it counts.
+// checkBudgets stops the router and checks that it has released all memory, descriptors, requests and
+// connections that it counts.
 func (m *matrixRun) checkBudgets() {
 	m.t.Helper()
 	srv := m.router.srv
@@ -361,7 +368,8 @@
 	}
 }
 
-// checkIdlePools checks that the loop knows the pools with idle connections. It runs in the loop.
+// checkIdlePools checks that idlePools holds exactly the pools with idle connections. It must run in
+// the event loop.
 func checkIdlePools(t *testing.T, l *eventLoop) {
 	idle := 0
 	for name, p := range l.pools {
@@ -377,8 +385,8 @@
 	}
 }
 
-// measureStalls returns a function that tells for how long, in all, the machine has kept the process
-// from running since.
+// measureStalls returns a function that returns the total time for which the process has been stalled
+// since this call.
 func measureStalls(t *testing.T) (stalled func() time.Duration) {
 	var total atomic.Int64
 	done := make(chan struct{})
--- a/internal/router/faulty_system_test.go
+++ b/internal/router/faulty_system_test.go
@@ -28,16 +28,17 @@
 	callLastDataAge    systemCall = "last data age"
 )
 
-// fault is what happens to one system call. Without an error the call is made.
+// fault is what happens to one system call. If err is nil, the call is made.
 type fault struct {
 	err      error
 	maxBytes int           // if positive, the most that a read or write transfers: a short count
-	reached  chan struct{} // if not nil, closed when the call is reached, ...
-	resume   chan struct{} // ... which then waits until this is closed: a stall without a sleep
+	reached  chan struct{} // if not nil, closed when the call is reached
+	resume   chan struct{} // if not nil, the call waits until it is closed: a stall without a sleep
 }
 
-// faultySystem makes system calls with scripted faults. Calls with nothing scripted are made as they
-// are. Where decide is set, it is asked for the fault of a call on a descriptor, 0 if there is none.
+// faultySystem makes system calls with scripted faults. For a call without a scripted fault it uses the
+// result of decide, if that is set; nil means no fault. The fd given to decide is 0 for calls that have no
+// descriptor.
 type faultySystem struct {
 	socket.Linux
 	mu     sync.Mutex
@@ -45,22 +46,22 @@
 	calls  map[systemCall]int
 	decide func(call systemCall, fd int) *fault
 
-	bytesRead            atomic.Int64 // by all reads; peeks do not count
-	bytesReadAtEmptyRead atomic.Int64 // bytes read when a read found nothing last
+	bytesRead            atomic.Int64 // by all reads, not by peeks
+	bytesReadAtEmptyRead atomic.Int64 // value of bytesRead at the last read that found nothing
 }
 
 func newFaultySystem() *faultySystem {
 	return &faultySystem{script: map[systemCall][]fault{}, calls: map[systemCall]int{}}
 }
 
-// inject scripts the faults of the next calls of a kind, in their order.
+// inject appends faults to the script for the next calls of a kind.
 func (s *faultySystem) inject(call systemCall, faults ...fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script[call] = append(s.script[call], faults...)
 }
 
-// injectError has the next calls of a kind fail, count times.
+// injectError makes the next count calls of a kind fail.
 func (s *faultySystem) injectError(call systemCall, err error, count int) {
 	for range count {
 		s.inject(call, fault{err: err})
@@ -95,7 +96,7 @@
 	return len(s.script[call])
 }
 
-// nextFault counts a call and returns its fault, after the stall if it has one.
+// nextFault counts a call and returns its fault. If the fault is a stall, it returns when the stall ends.
 func (s *faultySystem) nextFault(call systemCall, fd int) fault {
 	s.mu.Lock()
 	s.calls[call]++
@@ -117,6 +118,7 @@
 	return f
 }
 
+// limit returns the part of a buffer that the call may transfer.
 func (f fault) limit(b []byte) []byte {
 	if f.maxBytes > 0 {
 		return b[:min(len(b), f.maxBytes)]
@@ -194,7 +196,7 @@
 	return s.Linux.LastDataAge(fd)
 }
 
-// useFaultySystem has a server that does not run yet make its system calls through a faulty system.
+// useFaultySystem makes a server that has not been started use a faulty system for its system calls.
 func useFaultySystem(srv *Server) *faultySystem {
 	system := newFaultySystem()
 	srv.system, srv.loop.system = system, system
--- a/internal/router/oracle_cache_test.go
+++ b/internal/router/oracle_cache_test.go
@@ -13,23 +13,23 @@
 	"marlstage/internal/resp"
 )
 
-// oracleCache is a cache server that reports each attempt to the oracle and answers with a value
-// that names the request.
+// oracleCache is a cache server that reports each attempt to the oracle. The values that it serves contain
+// the id of the request.
 type oracleCache struct {
 	name   string
 	oracle *oracle
 	ln     net.Listener
-	// answer chooses the answer to the given attempt of a request, counted over all caches from 0.
+	// answer returns the answer to an attempt of a request. Attempts are counted from 0 over all caches.
 	answer func(id string, attempt int) cacheAnswer
 }
 
 // cacheAnswer is how a cache answers an attempt.
 type cacheAnswer struct {
-	wire  string          // empty if the cache closes the connection instead
-	after <-chan struct{} // if not nil, closed when the answer is to be given
+	wire  string          // the bytes of the answer; if empty, the cache closes the connection
+	after <-chan struct{} // if not nil, closed when the answer may be sent
 }
 
-// servedWire is the answer of a cache that serves the request.
+// servedWire returns the bytes of the answer of a cache that serves the request.
 func servedWire(id string) string {
 	value := servedValue(id)
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
@@ -58,7 +58,7 @@
 
 func (c *oracleCache) addr() string { return c.ln.Addr().String() }
 
-// serve answers the commands of a connection until that ends.
+// serve answers the commands of a connection until the connection ends.
 func (c *oracleCache) serve(nc net.Conn) {
 	defer nc.Close()
 	reader := redcon.NewReader(nc)
--- a/internal/router/oracle_client_test.go
+++ b/internal/router/oracle_client_test.go
@@ -19,17 +19,17 @@
 	classOnce = "once" // must not run twice
 )
 
-// oracleClient is a client whose requests the oracle judges. It must not fail the test by itself, as
-// it may run beside the test's goroutine.
+// oracleClient is a client whose requests the oracle checks. It must not fail the test itself, as it
+// may run outside the test's goroutine.
 type oracleClient struct {
 	oracle *oracle
 	nc     *net.TCPConn
 	conn   *oracleConn
-	ended  chan struct{} // closed when nothing more is received
+	ended  chan struct{} // closed when nothing more will be received
 
 	mu       sync.Mutex
 	answers  int
-	progress chan struct{} // receives when an answer has come; has capacity one
+	progress chan struct{} // receives a value when an answer has arrived; capacity 1
 }
 
 // dialOracle connects a client to a router.
@@ -50,7 +50,7 @@
 	return c, nil
 }
 
-// encodeRequest returns a request on the wire.
+// encodeRequest returns the bytes of a request.
 func encodeRequest(r *oracleRequest) string {
 	options := fmt.Sprintf("c=%s,d=%d", r.class, r.timeout.Milliseconds())
 	switch r.class {
@@ -63,8 +63,8 @@
 	}
 }
 
-// send writes requests with one write. If pause is not nil, it is called in the middle of the first
-// request.
+// send writes requests with one write. If pause is not nil, there are two writes, and pause is called
+// between them, in the middle of the first request.
 func (c *oracleClient) send(requests []*oracleRequest, pause func()) {
 	var wire strings.Builder
 	firstSize := 0
@@ -79,18 +79,18 @@
 	rest := wire.String()
 	if pause != nil {
 		if _, err := io.WriteString(c.nc, rest[:firstSize/2]); err != nil {
-			return // not written whole
+			return // the requests are not written completely
 		}
 		rest = rest[firstSize/2:]
 		pause()
 	}
-	if _, err := io.WriteString(c.nc, rest); err == nil { // else it is not known to be written whole
+	if _, err := io.WriteString(c.nc, rest); err == nil { // otherwise they are not known to be written completely
 		c.oracle.wroteAll(requests)
 	}
 }
 
-// awaitAnswers waits until the given number of answers have come on the connection. It reports false
-// if the connection ended before, or at the timeout.
+// awaitAnswers waits until the given number of answers have arrived on the connection. It reports false
+// if the connection or the timeout ends first.
 func (c *oracleClient) awaitAnswers(total int, timeout time.Duration) bool {
 	expired := time.After(timeout)
 	for {
@@ -122,12 +122,12 @@
 	}
 }
 
-// close closes the connection as the client's own wish.
+// close closes the connection on the client's own initiative.
 func (c *oracleClient) close() {
 	c.oracle.closeClient(c.conn, func() { _ = c.nc.Close() }) // it may be closed already
 }
 
-// reset closes the connection with a reset.
+// reset resets the connection on the client's own initiative.
 func (c *oracleClient) reset() {
 	c.oracle.closeClient(c.conn, func() {
 		_ = c.nc.SetLinger(0) // fails only on a closed connection
@@ -159,7 +159,7 @@
 	}
 }
 
-// recordingReader keeps the bytes that were read from its source.
+// recordingReader records the bytes that are read from its source.
 type recordingReader struct {
 	source io.Reader
 	bytes  []byte
--- a/internal/router/oracle_seeded_test.go
+++ b/internal/router/oracle_seeded_test.go
@@ -11,7 +11,8 @@
 	"marlstage/internal/resp"
 )
 
-// seededRouter is the fake router of a seeded fault: it serves one client connection with a script.
+// seededRouter is a fake router with a deliberate (seeded) fault. A script tells how it serves its one
+// client connection.
 type seededRouter struct {
 	t      *testing.T
 	oracle *oracle
@@ -19,10 +20,10 @@
 	cache  string
 	buf    []byte
 	skew   *atomic.Int64 // nanoseconds by which the oracle's clock is ahead
-	left   chan struct{} // closed when the client has left and noted it
+	left   chan struct{} // closed when the client has left and the oracle has recorded it
 }
 
-// next reads the next command of the client.
+// next returns the next command of the client.
 func (r *seededRouter) next() resp.Command {
 	for {
 		args, size, err := resp.NextCommand(r.buf)
@@ -49,7 +50,7 @@
 	}
 }
 
-// forward sends a command to the cache, with its timeout changed by extra, and returns the reply.
+// forward sends a command to the cache, with extra added to its timeout, and returns the reply.
 func (r *seededRouter) forward(cmd resp.Command, extra time.Duration) string {
 	nc, err := net.Dial("tcp", r.cache)
 	if err != nil {
@@ -70,7 +71,7 @@
 
 func (r *seededRouter) write(wire string) { _, _ = io.WriteString(r.client, wire) }
 
-// serveNext serves the next command as a router has to.
+// serveNext serves the next command without a fault.
 func (r *seededRouter) serveNext() { r.write(r.forward(r.next(), 0)) }
 
 // awaitClientEnd waits until the client has closed the connection.
@@ -79,18 +80,18 @@
 // advanceClock sets the oracle's clock forward.
 func (r *seededRouter) advanceClock(by time.Duration) { r.skew.Add(int64(by)) }
 
-// seededFault is a fault of a router, and what the oracle has to say to it.
+// seededFault is a fault of a router and the violation that the oracle must report for it.
 type seededFault struct {
 	name           string
 	class          string // of the two requests that the client sends at once
 	serve          func(*seededRouter)
 	leaves         bool // the client closes as soon as both are written
-	halfCloseAfter int  // if positive, the answers after which the client half-closes, unknown to the oracle
+	halfCloseAfter int  // if positive, the client half-closes after so many answers; not reported to the oracle
 	staysOpen      bool // the router leaves the connection open
-	want           string
+	want           string // text in a reported violation; empty if there must be none
 }
 
-// seededFaults are two requests, "r0" and "r1", in the hands of a router.
+// seededFaults serve two requests, "r0" and "r1".
 var seededFaults = []seededFault{
 	{name: "no fault", serve: func(r *seededRouter) {
 		r.serveNext()
@@ -208,8 +209,8 @@
 
 const seededTimeout = 5 * time.Second
 
-// TestOracleReportsSeededFaults checks that the oracle reports each fault of a router that has one,
-// and nothing else.
+// TestOracleReportsSeededFaults checks that the oracle reports each seeded fault, and nothing for a router
+// without one. An oracle that misses faults would let the fault matrix pass.
 func TestOracleReportsSeededFaults(t *testing.T) {
 	for _, seeded := range seededFaults {
 		t.Run(seeded.name, func(t *testing.T) { testSeededFault(t, seeded) })
@@ -254,7 +255,7 @@
 	}
 	if n := seeded.halfCloseAfter; n > 0 {
 		client.awaitAnswers(n, testTimeout)
-		_ = client.nc.CloseWrite() // fails only if the connection has ended, which the verdict shows
+		_ = client.nc.CloseWrite() // fails only if the connection has ended, which the violations show
 	}
 	receive(t, served, "end of the seeded router")
 	if !seeded.staysOpen {
@@ -266,7 +267,8 @@
 	wantViolations(t, violations, seeded.want)
 }
 
-// wantViolations checks that all violations, and at least one, contain a text; none if it is empty.
+// wantViolations checks that at least one violation contains the wanted text, or that there is none if the
+// text is empty.
 func wantViolations(t *testing.T, got []string, want string) {
 	t.Helper()
 	if want == "" && len(got) > 0 || want != "" && len(got) == 0 {
--- a/internal/router/oracle_test.go
+++ b/internal/router/oracle_test.go
@@ -11,50 +11,48 @@
 	"marlstage/internal/resp"
 )
 
-// Limits of the operators' rules.
+// Limits set by the operators' rules, which the oracle checks.
 const (
-	lateReplyAllowance = 500 * time.Millisecond // of a final answer after the client's timeout
-	disconnectGrace    = 100 * time.Millisecond // after a client's end, in which an attempt may still begin
-	timeoutAllowance   = 150 * time.Millisecond // by which the timeout told to a cache may exceed what is left
+	lateReplyAllowance = 500 * time.Millisecond // by which a final answer may exceed the client's timeout
+	disconnectGrace    = 100 * time.Millisecond // time after a client's end in which an attempt may still begin
+	timeoutAllowance   = 150 * time.Millisecond // by which the timeout told to a cache may exceed the time left
 )
 
 // oracleSlack is added to the limits for a machine under load.
 type oracleSlack struct {
-	answer  time.Duration // for answers, which come late if anything is stalled
-	attempt time.Duration // for attempts, whose begin the router's own system calls tell
+	answer  time.Duration // for answers, which are late whenever any process is stalled
+	attempt time.Duration // for attempts, whose begin is taken from the router's own system calls
 }
 
-// oracle judges every request that a client has written whole: whether it got exactly one complete
-// answer that was made for it, and whether an attempt of it began when none may any more. Clients,
-// caches and the system calls of the router report to it. Its methods may be called from any
-// goroutine.
+// oracle checks every request that a client has written completely: that it got exactly one complete
+// answer, which belongs to it, and that no attempt of it began after the last moment allowed. Clients,
+// caches and the router's system calls report to it. Its methods may be called from any goroutine.
 type oracle struct {
 	slack oracleSlack
-	now   func() time.Time // time.Now, unless a test moves the clock by itself
-	// stalled returns for how long the machine has stalled the whole process, which adds to the slack.
+	now   func() time.Time // time.Now, unless a test controls the clock
+	// stalled returns the total time for which the machine has stalled the process. It is added to the slack.
 	stalled func() time.Duration
-	// allowsLateCommands says that clients send so late that the router may take a command for one that
-	// does not come whole.
+	// allowsLateCommands is set if clients send so late that the router may reject a command as incomplete.
 	allowsLateCommands bool
 
 	mu            sync.Mutex
 	requests      map[string]*oracleRequest
 	conns         []*oracleConn
-	byAddr        map[string]*oracleConn     // the latest connection with an address of the client's side
+	byAddr        map[string]*oracleConn     // by the client's address, the latest connection
 	upstreams     map[string]*upstreamStream // by upstreamKey
 	attempts      []oracleAttempt
-	drainingSince map[string]time.Time // by cache: since when the router knows that it drains
+	drainingSince map[string]time.Time // by cache, when the router learned that it drains
 }
 
-// oracleRequest is a request that a client has written.
+// oracleRequest is a request that a client writes.
 type oracleRequest struct {
 	id          string
 	class       string
 	timeout     time.Duration
-	startOffset int64 // of its bytes among those that the client wrote to its connection
+	startOffset int64 // of its first byte among those that the client writes to its connection
 	endOffset   int64
 	writtenAt   time.Time
-	index       int // among the requests of its connection
+	index       int // position among the requests of its connection
 	conn        *oracleConn
 }
 
@@ -63,19 +61,19 @@
 	addr           string
 	requests       []*oracleRequest // in the order of their bytes
 	answers        []oracleAnswer
-	remainder      string // of an answer that did not come whole
+	remainder      string // bytes of an answer that is incomplete
 	written        int64  // bytes that the client wrote
 	read           int64  // bytes that the router has read
 	reads          []oracleRead
 	clientClosedAt time.Time
 	routerClosedAt time.Time
-	timedOut       bool // the client has given up waiting for an answer
+	timedOut       bool // the client stopped waiting for an answer
 	client         *net.TCPConn
 }
 
 // oracleRead is a read of the router from a client.
 type oracleRead struct {
-	total int64 // bytes that have been read with it
+	total int64 // bytes read so far, this read included
 	at    time.Time
 }
 
@@ -90,22 +88,22 @@
 	id         string
 	cache      string
 	upstream   string // upstreamKey of the connection
-	index      int    // among the commands of the connection
+	index      int    // position among the commands of the connection
 	timeout    time.Duration
 	arrivedAt  time.Time
-	mayHaveRun bool // the cache did not turn it away
+	mayHaveRun bool // the cache did not reject it
 }
 
-// upstreamKey names a connection to a cache. The address of the router's side alone may be that of
-// several connections to different caches.
+// upstreamKey identifies a connection to a cache. The router's address alone does not, as connections to
+// different caches may share it.
 func upstreamKey(routerSide, cacheSide net.Addr) string {
 	return routerSide.String() + ">" + cacheSide.String()
 }
 
-// upstreamStream is what the router wrote to a connection to a cache.
+// upstreamStream records what the router wrote to a connection to a cache.
 type upstreamStream struct {
 	partial    []byte // bytes of an incomplete command
-	startTimes []time.Time
+	startTimes []time.Time // of the first writes of the commands
 }
 
 func newOracle(slack oracleSlack) *oracle {
@@ -120,7 +118,7 @@
 	}
 }
 
-// clientConnected notes a client's connection.
+// clientConnected records a client's connection.
 func (o *oracle) clientConnected(nc *net.TCPConn) *oracleConn {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -130,7 +128,7 @@
 	return c
 }
 
-// willWrite notes requests that the client is about to write, each with the number of its bytes.
+// willWrite records a request of the given size that the client is about to write.
 func (o *oracle) willWrite(c *oracleConn, size int, r *oracleRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -143,7 +141,7 @@
 	o.requests[r.id] = r
 }
 
-// wroteAll notes that requests were written to their last byte.
+// wroteAll records that requests were written to their last byte.
 func (o *oracle) wroteAll(requests []*oracleRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -152,13 +150,14 @@
 	}
 }
 
+// answered records a complete answer that a client received.
 func (o *oracle) answered(c *oracleConn, wire string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c.answers = append(c.answers, oracleAnswer{wire, o.now()})
 }
 
-// closeClient has the client close its connection and notes when that was done.
+// closeClient closes a client's connection with end, on the client's own initiative, and records when.
 func (o *oracle) closeClient(c *oracleConn, end func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -168,8 +167,8 @@
 	}
 }
 
-// connectionEnded notes that the client received the end of its connection, and the bytes of an
-// answer before it that is not whole.
+// connectionEnded records that the client received the end of its connection, and the bytes of an
+// incomplete answer before it.
 func (o *oracle) connectionEnded(c *oracleConn, remainder string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -179,15 +178,15 @@
 	}
 }
 
-// answerTimedOut notes that a client got no answer although it waited for longer than any may take.
+// answerTimedOut records that a client got no answer within the longest time that one may take.
 func (o *oracle) answerTimedOut(c *oracleConn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	c.timedOut = true
 }
 
-// unread returns those of the requests that the router has ended the connection over without an
-// answer and without having read any of their bytes. The client sends them once more.
+// unread returns those of the requests that the router neither answered nor read any byte of before it
+// ended the connection. The client sends them once more.
 func (o *oracle) unread(c *oracleConn, requests []*oracleRequest) (unread []*oracleRequest) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -202,8 +201,8 @@
 	return unread
 }
 
-// breakConnection has the network break a client's connection. It reports false if that has ended
-// before or is not known yet.
+// breakConnection resets a client's connection, as a fault of the network would. It reports false if the
+// connection has ended before or is not known yet.
 func (o *oracle) breakConnection(addr string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -217,7 +216,7 @@
 	return true
 }
 
-// routerRead notes bytes that the router read from a client.
+// routerRead records that the router read n bytes from a client.
 func (o *oracle) routerRead(addr string, n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -233,8 +232,8 @@
 	return o.byAddr[addr].read
 }
 
-// receivedAt returns when the router had read a request, or else when the client had written it. A
-// router cannot know of the time between the two.
+// receivedAt returns when the router had read the whole request or, if it has not, when the client had
+// written it. The router can't know how long a request waited before it was read.
 func (r *oracleRequest) receivedAt() time.Time {
 	for _, read := range r.conn.reads {
 		if read.total >= r.endOffset {
@@ -244,7 +243,7 @@
 	return r.writtenAt
 }
 
-// upstreamWriteBegins notes that the router is about to write to a cache.
+// upstreamWriteBegins records that the router is about to write to a cache.
 func (o *oracle) upstreamWriteBegins(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -258,13 +257,13 @@
 	}
 }
 
-// upstreamWrote notes what the router wrote to a cache.
+// upstreamWrote records what the router wrote to a cache.
 func (o *oracle) upstreamWrote(key string, written []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := o.upstreams[key]
 	if len(s.partial) == 0 && len(written) == 0 {
-		s.startTimes = s.startTimes[:len(s.startTimes)-1] // it has not begun
+		s.startTimes = s.startTimes[:len(s.startTimes)-1] // the command has not begun
 		return
 	}
 	s.partial = append(s.partial, written...)
@@ -273,7 +272,7 @@
 	}
 }
 
-// attemptArrived notes a complete command that reached a cache.
+// attemptArrived records a complete command that reached a cache.
 func (o *oracle) attemptArrived(a oracleAttempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -281,18 +280,18 @@
 	o.attempts = append(o.attempts, a)
 }
 
-// cacheDraining notes that the router has learned and applied that a cache drains.
+// cacheDraining records that the router has learned and applied that a cache drains.
 func (o *oracle) cacheDraining(cache string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.drainingSince[cache] = o.now()
 }
 
-// servedValue is the value of a cache's answer to the request with the given id.
+// servedValue returns the value that a cache serves for the request with the given id.
 func servedValue(id string) string { return "value-of-" + id }
 
-// violations returns what broke the rules, in a stable order. The test is over by then, and every
-// connection has ended or has been waited for.
+// violations returns the broken rules in a stable order. It is to be called at the end of a test, when
+// every connection has ended or its client has stopped waiting.
 func (o *oracle) violations() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -308,6 +307,7 @@
 	return found
 }
 
+// checkConn returns the rules that were broken in the answers on a client's connection.
 func (o *oracle) checkConn(c *oracleConn) (found []string) {
 	report := func(r *oracleRequest, format string, args ...any) {
 		found = append(found, fmt.Sprintf("%s: ", r.id)+fmt.Sprintf(format, args...)+c.describe())
@@ -318,7 +318,7 @@
 			if what := o.checkAnswer(r, c.answers[i]); what != "" {
 				report(r, "%s", what)
 			}
-		case r.writtenAt.IsZero(): // not written whole, or never known to be
+		case r.writtenAt.IsZero(): // not known to be written completely
 		case !c.clientClosedAt.IsZero():
 		case c.routerClosedAt.IsZero(), c.timedOut:
 			report(r, "lost: no answer in time")
@@ -335,13 +335,13 @@
 	return found
 }
 
-// describe says how far a connection came.
+// describe returns how much of a connection was read and answered.
 func (c *oracleConn) describe() string {
 	return fmt.Sprintf(" (%s: %d of %d bytes read, %d of %d requests answered)",
 		c.addr, c.read, c.written, len(c.answers), len(c.requests))
 }
 
-// checkAnswer says what is wrong with an answer to a request, if anything is.
+// checkAnswer returns what is wrong with an answer to a request, or "" if nothing is.
 func (o *oracle) checkAnswer(r *oracleRequest, a oracleAnswer) string {
 	due := r.timeout + lateReplyAllowance + o.slack.answer + o.stalled()
 	switch {
@@ -359,10 +359,11 @@
 	return ""
 }
 
-// attemptSlack is the slack of the limits on attempts.
+// attemptSlack returns the slack of the limits on attempts, the process's stalls included.
 func (o *oracle) attemptSlack() time.Duration { return o.slack.attempt + o.stalled() }
 
-// startTime returns when an attempt began: with the router's first write, where that is known.
+// startTime returns when an attempt began: the time of the router's first write or, if that is not known, of
+// its arrival at the cache.
 func (o *oracle) startTime(a oracleAttempt) time.Time {
 	if s := o.upstreams[a.upstream]; s != nil && a.index < len(s.startTimes) {
 		return s.startTimes[a.index]
@@ -370,6 +371,7 @@
 	return a.arrivedAt
 }
 
+// checkAttempt returns the rules that were broken by an attempt.
 func (o *oracle) checkAttempt(a oracleAttempt) (found []string) {
 	report := func(format string, args ...any) {
 		found = append(found, fmt.Sprintf("%s: ", a.id)+fmt.Sprintf(format, args...))
@@ -406,7 +408,7 @@
 	return found
 }
 
-// checkRepeats looks for requests that must not run twice and were sent again.
+// checkRepeats returns the requests that must not run twice but were sent again after they may have run.
 func (o *oracle) checkRepeats() (found []string) {
 	ran := map[string]int{}
 	for _, a := range o.attempts {
@@ -424,8 +426,8 @@
 	return found
 }
 
-// closedUnread returns how many connections the router ended without having read anything of the
-// requests that were written to them. Clients send these again, so none is lost.
+// closedUnread returns how many connections the router ended without reading any of the requests that
+// were written to them. Clients send these again, so none is lost.
 func (o *oracle) closedUnread() (count int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/router/truncated_endpoints_test.go
+++ b/internal/router/truncated_endpoints_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// truncatingDiscovery replies to each call with the same bytes and ends the connection.
+// truncatingDiscovery runs a discovery service that replies to each call with the same bytes and then ends
+// the connection with end. The channel receives the URL of each call.
 func truncatingDiscovery(t *testing.T, wire string, end func(net.Conn)) (addr string, calls chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,8 +40,9 @@
 
 const statusOK = "HTTP/1.1 200 OK\r\n"
 
-// TestTruncatedEndpointList: a list without a length is complete at an orderly end of the connection. A reset is no
-// such end, even behind bytes that parse as a list, and neither is an end within the announced length.
+// TestTruncatedEndpointList checks that no truncated list is accepted. A list without a length is complete
+// at an orderly end of the connection. A reset is not an orderly end, even after bytes that parse as a
+// list, and an end before the announced length is reached leaves the list incomplete.
 func TestTruncatedEndpointList(t *testing.T) {
 	body := endpointListJSON(9, true, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 	length := fmt.Sprintf(statusOK+"Content-Length: %d\r\n\r\n", len(body))
@@ -48,8 +50,8 @@
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 	for _, c := range []struct {
 		name, wire      string
-		complete        bool // at an orderly end
-		completeAtReset bool // all that was announced has arrived
+		complete        bool // if the connection is closed in an orderly way
+		completeAtReset bool // if it is reset, as all announced bytes have arrived
 	}{
 		{"without a length", statusOK + "Connection: close\r\n\r\n" + body, true, false},
 		{"HTTP/1.0", "HTTP/1.0 200 OK\r\n\r\n" + body, true, false},
@@ -71,7 +73,7 @@
 				switch complete := how == "closed" && c.complete; {
 				case complete && (err != nil || h.Version != 9):
 					t.Errorf("a complete list: %v", err)
-				case how == "reset" && c.completeAtReset: // the reset may overtake bytes that are still unread
+				case how == "reset" && c.completeAtReset: // either result is right: the reset may discard unread bytes
 				case !complete && err == nil:
 					t.Errorf("an incomplete list was accepted: %+v", h)
 				}
@@ -80,7 +82,8 @@
 	}
 }
 
-// TestWatchResumesAfterTruncatedEndpointList: from the version that is known, within the backoff after one failure.
+// TestWatchResumesAfterTruncatedEndpointList checks that the next watch, after the backoff for one
+// failure, asks for changes since the known version. A truncated list must not count as received.
 func TestWatchResumesAfterTruncatedEndpointList(t *testing.T) {
 	body := endpointListJSON(9, true, endpointJSON("c2", "127.0.0.1:1", "in_service"))
 	for how, end := range connectionEnds {
--- a/internal/router/truncated_reply_test.go
+++ b/internal/router/truncated_reply_test.go
@@ -10,7 +10,7 @@
 	"marlstage/policy"
 )
 
-// connectionEnds are the ways in which a peer ends a connection.
+// connectionEnds are the ways in which a peer can end a connection.
 var connectionEnds = map[string]func(net.Conn){
 	"reset": func(nc net.Conn) {
 		_ = nc.(*net.TCPConn).SetLinger(0) // fails only on a connection that is closed already
@@ -19,7 +19,7 @@
 	"closed": func(nc net.Conn) { nc.Close() },
 }
 
-// truncatedReplies are proper beginnings of replies.
+// truncatedReplies are incomplete prefixes of valid replies.
 var truncatedReplies = map[string]string{
 	"nothing":                    "",
 	"type":                       "*",
@@ -39,7 +39,8 @@
 	"large value":                "*3\r\n$65536\r\n" + strings.Repeat("v", resp.MaxValueSize/2),
 }
 
-// TestTruncatedReplyIsConnectionLost: the attempt may have been executed, however much of the reply has arrived.
+// TestTruncatedReplyIsConnectionLost checks that an attempt whose reply is truncated counts as lost with its
+// connection: it may have been executed, however much of the reply has arrived.
 func TestTruncatedReplyIsConnectionLost(t *testing.T) {
 	for how, end := range connectionEnds {
 		for name, wire := range truncatedReplies {
@@ -64,7 +65,8 @@
 	}
 }
 
-// TestIdempotentRequestIsRetriedAfterTruncatedReply: another server gets it, and the client gets one complete reply.
+// TestIdempotentRequestIsRetriedAfterTruncatedReply checks that after a truncated reply another cache gets
+// the request, and the client gets one complete reply.
 func TestIdempotentRequestIsRetriedAfterTruncatedReply(t *testing.T) {
 	for how, end := range connectionEnds {
 		for name, wire := range truncatedReplies {
@@ -82,11 +84,11 @@
 				case first = <-caches[1].commands:
 					other = caches[0]
 				case <-time.After(testTimeout):
-					t.Fatal("no command came")
+					t.Fatal("no command arrived")
 				}
 				first.reply(t, wire)
 				end(first.conn)
-				second = receive(t, other.commands, "command at the other server")
+				second = receive(t, other.commands, "command at the other cache")
 				second.reply(t, otherServedReply)
 				c.wantLine("another")
 				c.wantLine("+PONG")
--- a/internal/router/upstream_conn_test.go
+++ b/internal/router/upstream_conn_test.go
@@ -13,8 +13,8 @@
 	"marlstage/policy"
 )
 
-// TestStaleConnectionIsNotUsed checks that a connection is not used which its cache may close at any
-// moment: a request written to it may or may not have run.
+// TestStaleConnectionIsNotUsed checks that a connection is not used if its cache may close it at any moment.
+// If it did, the router could not tell whether a request written to it had run.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Transport.Keepalive = 200_000_000 })
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestIdleSweepInterval checks that idle connections are swept in time for any keepalive time.
+// TestIdleSweepInterval checks that idle connections are swept often enough for short and long keepalive times.
 func TestIdleSweepInterval(t *testing.T) {
 	for keepalive, maxInterval := range map[policy.Time]policy.Time{
 		200_000:    50_000,
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestLateDuplicateReply checks that a second reply to a request, which arrives late, is not taken
-// for the reply to the next one.
+// TestLateDuplicateReply checks that a late second reply to a request is not taken for the reply to the
+// next request.
 func TestLateDuplicateReply(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -65,7 +65,8 @@
 	}
 }
 
-// TestSettleTimerIsSetOnce checks that attempts which wait for a connection to settle share a timer.
+// TestSettleTimerIsSetOnce checks that an attempt which waits for a connection to settle sets one timer,
+// however often its pool is dispatched.
 func TestSettleTimerIsSetOnce(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -84,8 +85,8 @@
 	})
 }
 
-// TestDuplicateReplyReadBeforeNextRequest checks that a second reply to a request is not taken for
-// that to the next one, if it has been read but the loop has yet to handle it.
+// TestDuplicateReplyReadBeforeNextRequest checks that a second reply to a request is not taken for the
+// reply to the next one if it has been read, but not yet handled by the loop, when that one is sent.
 func TestDuplicateReplyReadBeforeNextRequest(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -100,9 +101,9 @@
 	harness.wantOutcome(policy.ConnectionLost)
 }
 
-// TestReplyBeforeWriteIsComplete checks that a reply which arrives while the request is being written
-// is not served: it can't have been made for the request. The request does not run, whether the
-// cache keeps the connection open or closes it.
+// TestReplyBeforeWriteIsComplete checks that a reply which arrives while the request is still being
+// written is not served, as it can't be the reply to that request. The write is not completed, whether or
+// not the cache closes the connection, so the request does not run.
 func TestReplyBeforeWriteIsComplete(t *testing.T) {
 	for name, closes := range map[string]bool{"open": false, "closed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -131,13 +132,13 @@
 }
 
 // TestClosedConnectionFreesCapacity checks that a queued attempt gets a connection as soon as another
-// one is closed.
+// connection is closed.
 func TestClosedConnectionFreesCapacity(t *testing.T) {
 	for name, end := range map[string]func(*loopHarness, *request, fakeCommand){
 		"cancelled": func(harness *loopHarness, req *request, _ fakeCommand) {
 			harness.loop.perform(policy.Cancel{ID: req.id, Attempt: 0})
 		},
-		"out of step": func(harness *loopHarness, _ *request, cmd fakeCommand) {
+		"unexpected bytes": func(harness *loopHarness, _ *request, cmd fakeCommand) {
 			cmd.tryReply(servedReply + "trailing")
 		},
 	} {
@@ -182,8 +183,8 @@
 	})
 }
 
-// TestDialThatCompletesTooLate checks that a new connection carries nothing if meanwhile its cache
-// drains, has moved or has restarted, or the router has closed it, and that its descriptor is
+// TestDialThatCompletesTooLate checks that a new connection is not used if, during the dial, its cache
+// began to drain, moved or restarted, or the router closed the connection, and that its descriptor is
 // released once.
 func TestDialThatCompletesTooLate(t *testing.T) {
 	for name, change := range map[string]func(*pool, *upstreamConn){
@@ -224,8 +225,8 @@
 	}
 }
 
-// TestConnectionsToPreviousIncarnation checks that connections are not used which were opened before
-// their cache restarted.
+// TestConnectionsToPreviousIncarnation checks that connections opened before their cache restarted are
+// not used.
 func TestConnectionsToPreviousIncarnation(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -243,8 +244,8 @@
 	})
 }
 
-// TestMalformedReplyWithoutEnd checks that reading a reply stops when its attempt times out, or when
-// the reply is too large, and that its connection is closed.
+// TestMalformedReplyWithoutEnd checks that the router stops reading a reply when its attempt times out or
+// the reply is too large, and that it closes the connection.
 func TestMalformedReplyWithoutEnd(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -266,7 +267,7 @@
 	harness.wantOutcome(policy.ConnectionLost)
 }
 
-// TestHealthCheckTimeout checks that the timeout of a health check follows from the settings.
+// TestHealthCheckTimeout checks that the timeout of a health check is derived from the settings.
 func TestHealthCheckTimeout(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.DrainGrace = 40_000_000 })
@@ -278,8 +279,8 @@
 	})
 }
 
-// TestQueuedRetryIsNotStartedTooLate checks that a retry which waited in the queue is not sent once
-// caches no longer drop it as a duplicate, although it was decided on in time.
+// TestQueuedRetryIsNotStartedTooLate checks that a queued retry is not sent once caches may no longer
+// recognize it as a duplicate, even if it was queued in time.
 func TestQueuedRetryIsNotStartedTooLate(t *testing.T) {
 	harness, cache, busy := newHarnessWithExhaustedPool(t)
 	req := harness.newRequest(nil)
--- a/internal/router/upstream_write_test.go
+++ b/internal/router/upstream_write_test.go
@@ -15,7 +15,7 @@
 // largeValueSize is the size of the value that largeRequest writes.
 const largeValueSize = 64 << 20
 
-// useFaultySystem has the loop make its system calls through a faulty system from now on.
+// useFaultySystem makes the loop use a faulty system for its system calls from now on.
 func (h *loopHarness) useFaultySystem() *faultySystem {
 	h.t.Helper()
 	system := newFaultySystem()
@@ -23,14 +23,14 @@
 	return system
 }
 
-// allowSlowWrites has the loop take as long as a test needs to write a command.
+// allowSlowWrites lets the loop take as long to write a command as a test needs.
 func (h *loopHarness) allowSlowWrites() {
 	h.t.Helper()
 	h.do(func() { h.loop.maxWriteTime = longTimeout.Microseconds() })
 }
 
-// connectClient gives a request a client that nobody reads from, so that only a look at its socket
-// tells whether it has left.
+// connectClient gives a request a client connection that nothing reads from, so that only a check of the
+// socket shows whether the client has left.
 func (h *loopHarness) connectClient(req *request) *testClient {
 	h.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 	return client
 }
 
-// awaitFirstByte returns the connection on which a server has been sent the first byte of a command.
+// awaitFirstByte returns the next connection to a cache after the first byte of a command has arrived on it.
 func awaitFirstByte(t *testing.T, conns chan net.Conn) net.Conn {
 	t.Helper()
 	nc := receive(t, conns, "connection")
@@ -58,7 +58,7 @@
 	return nc
 }
 
-// wantIncompleteLargeCommand reads what is sent of a large command, which must not be all of it.
+// wantIncompleteLargeCommand reads the rest of a large command and checks that it is incomplete.
 func wantIncompleteLargeCommand(t *testing.T, nc net.Conn) {
 	t.Helper()
 	if n, err := io.CopyN(io.Discard, nc, largeValueSize); err == nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestClientLeavesDuringWrite checks that a command is not completed for a client that has left
-// since its first byte was written, although nobody reads from the client.
+// TestClientLeavesDuringWrite checks that a command is not completed if its client has left since the first
+// byte was written, even if nothing reads from the client's connection.
 func TestClientLeavesDuringWrite(t *testing.T) {
 	for how, disconnect := range disconnects {
 		t.Run(how, func(t *testing.T) {
@@ -86,23 +86,23 @@
 	}
 }
 
-// TestSlowWriteIsAborted checks that a command is not completed long after the timeout in it was
-// computed, as the server counts that from the last byte.
+// TestSlowWriteIsAborted checks that a command is not completed long after the timeout in it was computed.
+// The cache counts that timeout from the last byte, so the request could run for longer than the client waits.
 func TestSlowWriteIsAborted(t *testing.T) {
 	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
 	req := largeRequest(harness)
 	harness.sendAttempt(req, longTimeout)
 	nc := awaitFirstByte(t, conns)
-	const slack = 150_000 // between the timeout that a server is told and what the client has left
+	const slack = 150_000 // between the timeout told to a cache and the time that the client has left
 	late := harness.loop.clock() + slack
 	waitUntil(t, "the end of the slack", func() bool { return harness.loop.clock() > late })
 	wantIncompleteLargeCommand(t, nc)
 	harness.wantOutcome(policy.ConnectFailed)
 }
 
-// TestShortWrites checks that a command is written completely, once, if the socket takes it byte by
-// byte and fails for a moment in between.
+// TestShortWrites checks that a command is written completely and once if the socket takes only a few bytes
+// at a time, with transient errors in between.
 func TestShortWrites(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestWriteRetriedAfterTransientError checks that a first write which fails for want of kernel memory is
-// repeated on the same connection, and says nothing about the server.
+// TestWriteRetriedAfterTransientError checks that a first write that fails with a transient error, such as
+// a lack of kernel memory, is repeated on the same connection and does not count against the cache.
 func TestWriteRetriedAfterTransientError(t *testing.T) {
 	for _, err := range []error{unix.ENOBUFS, unix.ENOMEM, unix.EAGAIN, unix.EINTR} {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestDrainBeforeFirstByte checks that a command of which the socket has not taken a byte is not
-// sent any more once its cache drains.
+// TestDrainBeforeFirstByte checks that a command is not sent any more if its cache starts to drain before
+// the socket has accepted a byte of it.
 func TestDrainBeforeFirstByte(t *testing.T) {
 	for _, err := range []error{unix.ENOBUFS, unix.EAGAIN} {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -165,9 +165,8 @@
 	}
 }
 
-// TestLateReplyDuringStall checks that a second reply to a request is not taken for the reply to the
-// next one, if it arrives while the process is stalled between its look at the connection and the
-// write.
+// TestLateReplyDuringStall checks that a second reply to a request is not taken for the reply to the next
+// one if it arrives while the process is stalled between the check of the connection and the write.
 func TestLateReplyDuringStall(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -188,7 +187,8 @@
 	receive(t, cache.closed, "end of the connection")
 }
 
-// TestReadRetriedAfterTransientError checks that a read which fails for want of kernel memory is repeated.
+// TestReadRetriedAfterTransientError checks that a read that fails with a transient error, such as a lack of
+// kernel memory, is repeated.
 func TestReadRetriedAfterTransientError(t *testing.T) {
 	for _, err := range []error{unix.ENOMEM, unix.ENOBUFS, unix.EINTR} {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestPeekRetriedAfterTransientError checks that a new connection is used once the system can tell again
-// whether anything has arrived on it. That it can't says nothing about the server.
+// TestPeekRetriedAfterTransientError checks that a new connection is used once the check for unexpected
+// bytes succeeds. A failed check does not count against the cache.
 func TestPeekRetriedAfterTransientError(t *testing.T) {
 	for _, err := range []error{unix.ENOMEM, unix.ENOBUFS, unix.EINTR} {
 		t.Run(err.Error(), func(t *testing.T) {
--- a/internal/router/wall_clock_test.go
+++ b/internal/router/wall_clock_test.go
@@ -10,7 +10,7 @@
 	"marlstage/policy"
 )
 
-const hour = policy.Time(3_600_000_000)
+const hour = policy.Time(3_600_000_000) // in microseconds
 
 // updateRecorder passes events on to an engine and records the endpoint updates among them.
 type updateRecorder struct {
@@ -18,7 +18,7 @@
 	updates chan recordedUpdate
 }
 
-// recordedUpdate is an endpoint update and the time at which the engine got it.
+// recordedUpdate is an endpoint update and the time at which the engine received it.
 type recordedUpdate struct {
 	at        policy.Time
 	endpoints []policy.Endpoint
@@ -31,8 +31,8 @@
 	return e.policyEngine.Handle(now, ev)
 }
 
-// startRouterWithClock runs a router whose wall clock is ahead of the servers' clock by offset when
-// the router starts. It records the endpoint updates that its engine gets.
+// startRouterWithClock runs a router whose wall clock is ahead of the caches' clock by offset when the router
+// starts. The recorder receives the endpoint updates of its engine.
 func startRouterWithClock(t *testing.T, offset policy.Time, discoveryAddr string, known ...string) (*runningRouter, *updateRecorder) {
 	t.Helper()
 	cfg := testConfig(t, discoveryAddr, nil, known...)
@@ -47,14 +47,15 @@
 	return startServer(t, srv), recorder
 }
 
-// startedEndpointJSON is an endpoint in service that started the given time ago.
+// startedEndpointJSON returns an endpoint in service that started the given time ago.
 func startedEndpointJSON(name, addr string, age time.Duration) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","group":1,"status":"in_service","weight":1,"since_ms":%d}`,
 		name, addr, time.Now().Add(-age).UnixMilli())
 }
 
-// TestNewStartIsRecentDespiteWrongWallClock: a server whose start is listed while the router watches is cold, also if
-// the wall clock was off when the router started. Servers that were listed before stay as warm as they were.
+// TestNewStartIsRecentDespiteWrongWallClock checks that a cache whose start is first listed while the router
+// watches counts as just started, even if the wall clock was wrong when the router started. The start
+// times of caches that were listed before do not change.
 func TestNewStartIsRecentDespiteWrongWallClock(t *testing.T) {
 	for _, offset := range []policy.Time{-hour, -5_000_000, 0, 1_000_000, 5_000_000, hour} {
 		t.Run(time.Duration(offset*1000).String(), func(t *testing.T) {
@@ -67,20 +68,20 @@
 			receive(t, calls, "second call").reply <- endpointListJSON(3, true, old, startedEndpointJSON("c2", "127.0.0.1:2", 0))
 			second := receive(t, recorder.updates, "second update")
 			if age := second.at - second.endpoints[1].StartedAt; age < 0 || age > maxListDelay {
-				t.Errorf("a server that has just started counts as started %v ago", time.Duration(age*1000))
+				t.Errorf("a cache that has just started counts as started %v ago", time.Duration(age*1000))
 			}
 			if age := first.at - first.endpoints[0].StartedAt; age < time.Minute.Microseconds() {
-				t.Errorf("a server that is warm counts as started %v ago", time.Duration(age*1000))
+				t.Errorf("a warm cache counts as started %v ago", time.Duration(age*1000))
 			}
 			if first.endpoints[0] != second.endpoints[0] {
-				t.Errorf("the start of a server changed from %+v to %+v", first.endpoints[0], second.endpoints[0])
+				t.Errorf("the start of a cache changed from %+v to %+v", first.endpoints[0], second.endpoints[0])
 			}
 		})
 	}
 }
 
-// TestRepeatedStartKeepsConnections: a list that repeats a start does not close idle connections, also if that start
-// is in the future by the wall clock.
+// TestRepeatedStartKeepsConnections checks that a list that repeats a start time closes no idle connections,
+// even if that start is in the future by the wall clock.
 func TestRepeatedStartKeepsConnections(t *testing.T) {
 	for _, offset := range []policy.Time{-hour, 0, hour} {
 		t.Run(time.Duration(offset*1000).String(), func(t *testing.T) {
@@ -116,8 +117,8 @@
 	}, policy.UpdateDelta)
 }
 
-// TestRepeatedFutureStartIsOneRestart: connections opened after a list dated a start in the future are not closed when
-// the next list repeats it.
+// TestRepeatedFutureStartIsOneRestart checks that a start time in the future counts as one restart.
+// Connections opened after the first list with it are not closed when the next list repeats it.
 func TestRepeatedFutureStartIsOneRestart(t *testing.T) {
 	cache := newFakeCache(t)
 	h := newLoopHarness(t, cache.addr(), nil)
@@ -135,21 +136,22 @@
 	})
 }
 
-// listedStart is a start in an endpoint list and the age that it must have when the list arrives, both in seconds.
+// listedStart is a start time in an endpoint list and the age that the cache must have when the list
+// arrives, both in seconds.
 type listedStart struct {
 	name      string
-	startedAt policy.Time // by the servers' clock; 0 for long ago
+	startedAt policy.Time // by the caches' clock; 0 for long ago
 	age       policy.Time
 }
 
-// TestAgesByListAndClock: an age by the wall clock counts unless it can't be right. Then a server is taken for young if
-// its start is news.
+// TestAgesByListAndClock checks that an age by the wall clock is used unless it can't be right. If it can't, a
+// cache whose start is listed for the first time counts as recently started.
 func TestAgesByListAndClock(t *testing.T) {
 	const second, longAgo = policy.Time(1_000_000), policy.Time(-1)
 	type arrival struct {
-		at        policy.Time // by the servers' clock, in seconds
+		at        policy.Time // by the caches' clock, in seconds
 		kind      policy.UpdateKind
-		afterLoss bool // of the contact to the discovery service
+		afterLoss bool // the router has lost contact with the discovery service
 		starts    []listedStart
 	}
 	for _, test := range []struct {
@@ -162,18 +164,18 @@
 			{10_001, policy.UpdateDelta, false, []listedStart{{"b", 9000, 1001}, {"c", 9990, 11}}},
 			{10_004, policy.UpdateDelta, false, []listedStart{{"b", 10_004, 0}, {"c", 9990, 14}, {"a", 0, longAgo}}},
 		}},
-		{"right clock, news late by an outage", 0, []arrival{
+		{"right clock, start listed late after an outage", 0, []arrival{
 			{10_000, policy.UpdateSnapshot, false, []listedStart{{"a", 9000, 1000}}},
 			{10_020, policy.UpdateDelta, true, []listedStart{{"b", 10_003, 17}}},
 			{10_021, policy.UpdateDelta, false, []listedStart{{"c", 10_021, 0}}},
 		}},
-		{"right clock, an old server is listed again", 0, []arrival{
+		{"right clock, an old cache is listed again", 0, []arrival{
 			{10_000, policy.UpdateSnapshot, false, []listedStart{{"a", 9000, 1000}, {"b", 9500, 500}}},
 			{10_050, policy.UpdateSnapshot, false, []listedStart{{"b", 9500, 550}}},
 			{10_100, policy.UpdateSnapshot, false, []listedStart{{"a", 9000, 1100}, {"b", 9500, 600}}},
 			{10_150, policy.UpdateSnapshot, false, []listedStart{{"b", 9500, 650}}},
 			{10_800, policy.UpdateSnapshot, false, []listedStart{{"b", 9500, 1300}}},
-			{10_801, policy.UpdateSnapshot, false, []listedStart{{"a", 9000, 0}}}, // it is forgotten by now
+			{10_801, policy.UpdateSnapshot, false, []listedStart{{"a", 9000, 0}}}, // its start time has expired
 		}},
 		{"right clock, one start in the future", 0, []arrival{
 			{10_000, policy.UpdateSnapshot, false, []listedStart{{"a", 10_060, 0}}},
--- a/internal/router/watch_retry_test.go
+++ b/internal/router/watch_retry_test.go
@@ -16,7 +16,8 @@
 	"marlstage/policy"
 )
 
-// newStoppedLoop returns an event loop with the real policy whose events and timers the test runs.
+// newStoppedLoop returns an event loop with the real policy that does not run. The test runs its events and
+// timers.
 func newStoppedLoop(t *testing.T, edit func(*config.Config)) *eventLoop {
 	t.Helper()
 	cfg := testConfig(t, "127.0.0.1:1", nil, endpointJSON("c1", "127.0.0.1:1", "in_service"))
@@ -55,12 +56,12 @@
 	return l.now - failed
 }
 
-// dialError is the error of a call whose connection could not be established.
+// dialError returns the error of a call whose connection could not be established.
 func dialError(errno unix.Errno) error {
 	return fmt.Errorf("call: %w", &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)})
 }
 
-// failWatchesToMaxBackoff fails watches until the policy has reached its longest backoff.
+// failWatchesToMaxBackoff fails so many watches that the policy's backoff is at its maximum.
 func failWatchesToMaxBackoff(t *testing.T, l *eventLoop) {
 	t.Helper()
 	for range 10 {
@@ -68,13 +69,13 @@
 	}
 }
 
-// maxQuickDelay is how soon a watch has to follow a failure that leaves the service within reach: the call before may
-// have begun nearly as late as the notification deadline allows.
+// maxQuickDelay is the maximum delay of the watch after a failure that does not show the service to be
+// unreachable. The failed watch may itself have begun nearly as late as the notification deadline allows.
 const maxQuickDelay policy.Time = 250_000
 
-// TestWatchRetriesSoonIfDiscoveryMayBeReachable: after an outage the first call may begin 5 s after the service is back.
-// If that one fails on this machine, or is answered by something that can't be used, the next must not wait as long
-// again.
+// TestWatchRetriesSoonIfDiscoveryMayBeReachable checks that after a local error or an unusable reply the next
+// watch follows soon. After an outage the first call may begin 5 s after the service is back, and if it
+// fails for such a reason, the next must not be delayed as long again.
 func TestWatchRetriesSoonIfDiscoveryMayBeReachable(t *testing.T) {
 	for _, err := range []error{
 		dialError(unix.ENOBUFS), dialError(unix.EADDRNOTAVAIL), dialError(unix.ENETUNREACH), dialError(unix.EMFILE),
@@ -92,7 +93,8 @@
 	}
 }
 
-// TestRepeatedBrokenRepliesBackOff: a service that keeps breaking off is called at the policy's pace in the end.
+// TestRepeatedBrokenRepliesBackOff checks that a service whose replies are always truncated is finally called
+// no more often than the policy's backoff allows.
 func TestRepeatedBrokenRepliesBackOff(t *testing.T) {
 	l := newStoppedLoop(t, nil)
 	failWatchesToMaxBackoff(t, l)
@@ -106,7 +108,8 @@
 	}
 }
 
-// TestLocalErrorsDoNotCauseRapidRetries: while no connection can be made on this machine, watches follow at a moderate pace.
+// TestLocalErrorsDoNotCauseRapidRetries checks that watches follow each other at a moderate rate while local
+// errors prevent every connection.
 func TestLocalErrorsDoNotCauseRapidRetries(t *testing.T) {
 	l := newStoppedLoop(t, nil)
 	begun := l.now
@@ -119,8 +122,9 @@
 	}
 }
 
-// TestMovedDiscoveryIsCalledUntilItAnswers: changes count as notified 4 s after SIGHUP, also if the calls before it had
-// failed for long and the new address does not answer at once.
+// TestMovedDiscoveryIsCalledUntilItAnswers checks that a new discovery service is called often until it
+// answers. Changes count as notified 4 s after SIGHUP, even if earlier calls had failed for long and the
+// new address does not answer at once.
 func TestMovedDiscoveryIsCalledUntilItAnswers(t *testing.T) {
 	for _, err := range []error{dialError(unix.ECONNREFUSED), &discovery.StatusError{Code: 503}, context.DeadlineExceeded} {
 		l := newStoppedLoop(t, nil)
@@ -136,7 +140,8 @@
 	}
 }
 
-// TestWatchFailuresDoNotFillLog: however often watches fail, and whether or not lists come in between.
+// TestWatchFailuresDoNotFillLog checks that watch failures are logged, but at a limited rate, however often
+// they occur and whether or not lists arrive in between.
 func TestWatchFailuresDoNotFillLog(t *testing.T) {
 	for _, required := range []bool{true, false} {
 		for _, lists := range []bool{true, false} {
