--- a/internal/router/fault_matrix_clients_test.go
+++ b/internal/router/fault_matrix_clients_test.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	followingBatches   = 4                      // of a client after the situation has begun
-	crowdSize          = 30                     // clients that take turns at few descriptors
-	maxCrowdResends    = 100                    // of a request in a crowd
-	crowdBatches       = 4                      // of each of them
+	followingBatches   = 4                      // batches of a client after the scenario has started
+	crowdSize          = 30                     // clients that compete for few descriptors
+	maxCrowdResends    = 100                    // resends of one request where descriptors are few
+	crowdBatches       = 4                      // batches of each client that competes for descriptors
 	lateClients        = 40                     // clients that send their first command late
-	lateCommandTimeout = 100 * time.Millisecond // for a first command, where clients send theirs about then
-	lateCommandSpread  = 20 * time.Millisecond  // over which their first commands are spread
+	lateCommandTimeout = 100 * time.Millisecond // limit for the first command, close to which clients send theirs
+	lateCommandSpread  = 20 * time.Millisecond  // period over which these first commands are spread
 )
 
-// clientScript is what a client of the matrix does.
+// clientScript describes what a client of the matrix does.
 type clientScript struct {
-	name     string
-	batches  []requestBatch
-	connects bool                  // it connects before its first batch may be written
-	meets    bool                  // it is waited for before the situation begins
-	leave    func(c *oracleClient) // if not nil, how it leaves over its last batch instead of waiting
+	name          string
+	batches       []requestBatch
+	connectsFirst bool                  // connects before it waits for the start of its first batch
+	reportsReady  bool                  // the scenario starts only after this client has reported ready
+	leave         func(c *oracleClient) // if not nil, how it leaves without awaiting its last batch
 }
 
-// requestBatch is a number of requests that a client writes at once, and whose answers it awaits.
+// requestBatch is a number of requests that a client writes at once and whose answers it awaits.
 type requestBatch struct {
-	class    string
-	size     int
-	inPieces bool          // the first request comes in two, between which the situation begins if it meets
-	hung     bool          // no cache ever answers it, and the client waits for a short time
-	held     bool          // caches hold back the answer to one of them
-	begins   chan struct{} // if not nil, closed when the batch may be written
-	meets    bool          // the situation begins once the batch is written
-	crosses  bool          // it is written when the router looks at the connection before it ends it
+	class            string
+	size             int
+	inPieces         bool          // the first request is written in two parts; see pause
+	hung             bool          // no cache ever answers, and the requests have a short timeout
+	held             bool          // caches hold back the answer to one of the requests
+	start            chan struct{} // if not nil, closed when the batch may be written
+	readyOnceWritten bool          // the client reports ready once the batch is written
+	crossesClose     bool          // written after the last check of the connection before the router closes it
 }
 
-// repeated returns so many batches of one kind.
+// repeated returns the given number of copies of a batch.
 func repeated(count int, batch requestBatch) (batches []requestBatch) {
 	for range count {
 		batches = append(batches, batch)
@@ -46,11 +46,11 @@
 
 // scripts returns the clients of a cell.
 func (m *matrixRun) scripts() []clientScript {
-	switch m.situation {
-	case situationEvict:
-		return m.crowd()
-	case situationLateCommand:
-		return m.lateCommands()
+	switch m.scenario {
+	case scenarioEvict:
+		return m.crowdScripts()
+	case scenarioLateCommand:
+		return m.lateCommandScripts()
 	}
 	scripts := []clientScript{
 		m.script("sequential", requestBatch{class: classRead, size: 1}, 3, true),
@@ -60,42 +60,44 @@
 		m.script("once", requestBatch{class: classOnce, size: 2}, 2, true),
 		m.script("hung", requestBatch{class: classRead, size: 1, hung: true}, 0, false),
 		m.script("idle", requestBatch{class: classRead, size: 1}, 1, false),
-		{name: "late", batches: repeated(2, requestBatch{class: classRead, size: 2, begins: m.fired})},
+		{name: "late", batches: repeated(2, requestBatch{class: classRead, size: 2, start: m.scenarioStarted})},
 		m.restingScript(),
 	}
-	if m.situation == situationClientLeaves {
+	if m.scenario == scenarioClientLeaves {
 		scripts = append(scripts, m.leavingScripts()...)
 	}
 	return scripts
 }
 
-// script returns a client that sends some batches, one that the situation finds in flight, and more.
+// script returns a client that sends some batches before the scenario, one after which it reports
+// ready, and more once the scenario has started. If inFlight is set, caches hold back an answer to the
+// batch after which it reports ready.
 func (m *matrixRun) script(name string, batch requestBatch, before int, inFlight bool) clientScript {
 	batches := repeated(before, batch)
-	meeting := batch
-	meeting.meets, meeting.held = true, inFlight
-	batches = append(batches, meeting)
+	atStart := batch
+	atStart.readyOnceWritten, atStart.held = true, inFlight
+	batches = append(batches, atStart)
 	following := batch
-	following.begins = m.fired
+	following.start = m.scenarioStarted
 	count := followingBatches
 	if batch.hung {
 		count = 1
 	}
-	return clientScript{name: name, batches: append(batches, repeated(count, following)...), meets: true}
+	return clientScript{name: name, batches: append(batches, repeated(count, following)...), reportsReady: true}
 }
 
-// restingScript returns a client whose connection is at rest when the situation begins, and which
-// sends as the router is ending the connection, if it does.
+// restingScript returns a client whose connection is idle when the scenario starts, and which sends
+// while the router is closing the connection, if it does.
 func (m *matrixRun) restingScript() clientScript {
-	return clientScript{name: "resting", meets: true, batches: []requestBatch{
+	return clientScript{name: "resting", reportsReady: true, batches: []requestBatch{
 		{class: classRead, size: 1},
-		{class: classRead, size: 3, crosses: true},
+		{class: classRead, size: 3, crossesClose: true},
 		{class: classRead, size: 1},
 	}}
 }
 
-// crowd returns more clients than there are descriptors.
-func (m *matrixRun) crowd() (scripts []clientScript) {
+// crowdScripts returns clients for more connections than there are descriptors.
+func (m *matrixRun) crowdScripts() (scripts []clientScript) {
 	for i := range crowdSize {
 		scripts = append(scripts, clientScript{
 			name:    fmt.Sprint("crowd", i),
@@ -105,66 +107,66 @@
 	return scripts
 }
 
-// lateCommands returns clients that send their first command as the time for it ends.
-func (m *matrixRun) lateCommands() (scripts []clientScript) {
+// lateCommandScripts returns clients that send their first command close to the limit for it.
+func (m *matrixRun) lateCommandScripts() (scripts []clientScript) {
 	for i := range lateClients {
 		begins := make(chan struct{})
 		early := lateCommandSpread/2 - lateCommandSpread*time.Duration(i)/lateClients
 		time.AfterFunc(lateCommandTimeout-early, func() { close(begins) })
 		scripts = append(scripts, clientScript{
-			name:     fmt.Sprint("late", i),
-			connects: true,
-			batches:  []requestBatch{{class: classRead, size: 1 + i%3, begins: begins}},
+			name:          fmt.Sprint("late", i),
+			connectsFirst: true,
+			batches:       []requestBatch{{class: classRead, size: 1 + i%3, start: begins}},
 		})
 	}
 	return scripts
 }
 
-// leavingScripts returns clients that leave while their requests are in flight, or at once after
-// writing them.
+// leavingScripts returns clients that leave while their requests are in flight, or as soon as they have
+// written them.
 func (m *matrixRun) leavingScripts() (scripts []clientScript) {
 	leave := map[string]func(*oracleClient){"close": (*oracleClient).close, "reset": (*oracleClient).reset}
 	for how, leave := range leave {
-		inFlight := requestBatch{class: classRead, size: 3, held: true, meets: true}
-		unread := requestBatch{class: classRead, size: 3, begins: m.fired}
+		inFlight := requestBatch{class: classRead, size: 3, held: true, readyOnceWritten: true}
+		unread := requestBatch{class: classRead, size: 3, start: m.scenarioStarted}
 		scripts = append(scripts,
-			clientScript{name: "leaves in flight by " + how, batches: []requestBatch{inFlight}, meets: true, leave: leave},
+			clientScript{name: "leaves in flight by " + how, batches: []requestBatch{inFlight}, reportsReady: true, leave: leave},
 			clientScript{name: "leaves at once by " + how, batches: []requestBatch{unread}, leave: leave},
 			clientScript{
-				name:    "leaves a used connection by " + how,
-				batches: []requestBatch{{class: classPut, size: 1, meets: true}, unread},
-				meets:   true,
-				leave:   leave,
+				name:         "leaves a used connection by " + how,
+				batches:      []requestBatch{{class: classPut, size: 1, readyOnceWritten: true}, unread},
+				reportsReady: true,
+				leave:        leave,
 			})
 	}
 	return scripts
 }
 
-// matrixSession is a client with its present connection.
+// matrixSession is a running client and its current connection.
 type matrixSession struct {
 	run    *matrixRun
 	script clientScript
 	client *oracleClient
-	sent   int  // requests on the present connection
-	met    bool // the situation need not wait for the client any more
+	sent   int  // requests on the current connection
+	ready  bool // the client has reported ready
 }
 
-// runClient plays a client.
+// runClient runs a client until its last batch, or until the router takes no more connections.
 func (m *matrixRun) runClient(script clientScript) {
 	s := &matrixSession{run: m, script: script}
-	defer s.meet()
-	if script.connects && !s.connect() {
+	defer s.reportReady()
+	if script.connectsFirst && !s.connect() {
 		return
 	}
 	for i, batch := range script.batches {
-		if batch.begins != nil {
-			<-batch.begins
+		if batch.start != nil {
+			<-batch.start
 		}
-		if batch.crosses && !s.awaitCrossing() {
+		if batch.crossesClose && !s.awaitCrossing() {
 			return
 		}
 		last := i == len(script.batches)-1
-		if !s.perform(i, batch, last) {
+		if !s.runBatch(i, batch, last) {
 			return
 		}
 	}
@@ -174,29 +176,30 @@
 	}
 }
 
-// awaitCrossing lets the situation begin and waits for the router to look at the connection before it
-// ends it. It reports false if the router takes no more connections.
+// awaitCrossing reports ready and waits until the client may write: after the router's last check of the
+// connection before it closes it, or once startCrossing is called. It reports false if the router takes
+// no more connections.
 func (s *matrixSession) awaitCrossing() bool {
 	if !s.connect() {
 		return false
 	}
-	s.run.system.crossing.Store(&closeCrossing{addr: s.client.conn.addr, write: s.run.crossed})
-	s.meet()
-	<-s.run.crossed
+	s.run.system.crossing.Store(&closeCrossing{addr: s.client.conn.addr, write: s.run.crossingStarted})
+	s.reportReady()
+	<-s.run.crossingStarted
 	return true
 }
 
-// meet lets the situation begin, as far as this client is concerned.
-func (s *matrixSession) meet() {
-	if s.script.meets && !s.met {
-		s.met = true
-		s.run.arrived.Done()
+// reportReady tells the cell, once, that the scenario need not wait for this client any more.
+func (s *matrixSession) reportReady() {
+	if s.script.reportsReady && !s.ready {
+		s.ready = true
+		s.run.clientsReady.Done()
 	}
 }
 
-// perform sends a batch and awaits its answers, with what the router did not read sent again. It
-// reports false if the router takes no more connections.
-func (s *matrixSession) perform(number int, batch requestBatch, last bool) bool {
+// runBatch sends a batch and awaits its answers. Requests that the router did not read are sent again.
+// It reports false if the router takes no more connections.
+func (s *matrixSession) runBatch(number int, batch requestBatch, last bool) bool {
 	requests := s.newRequests(number, batch)
 	for range 1 + s.maxResends() {
 		if !s.connect() {
@@ -204,12 +207,12 @@
 		}
 		s.client.send(requests, s.pause(batch))
 		s.sent += len(requests)
-		if batch.meets {
-			s.meet()
+		if batch.readyOnceWritten {
+			s.reportReady()
 		}
 		if last && s.script.leave != nil {
-			if batch.meets {
-				<-s.run.fired
+			if batch.readyOnceWritten {
+				<-s.run.scenarioStarted
 			}
 			s.script.leave(s.client)
 			return true
@@ -223,7 +226,7 @@
 			<-s.client.ended
 			return true
 		}
-		requests = s.resent(requests)
+		requests = s.requestsToResend(requests)
 		if len(requests) == 0 {
 			return true
 		}
@@ -232,26 +235,28 @@
 	return true
 }
 
-// maxResends returns how often a request may be sent again. Few descriptors can be shut unread often.
+// maxResends returns how often a request may be sent again. Where descriptors are few, the router often
+// closes connections unread.
 func (s *matrixSession) maxResends() int {
-	if s.run.situation == situationEvict {
+	if s.run.scenario == scenarioEvict {
 		return maxCrowdResends
 	}
 	return maxResends
 }
 
-// pause returns what the client does in the middle of the first request, or nil if it does not stop
-// there.
+// pause returns the function that the client calls between the two parts of its first request, or nil
+// if it writes the request at once. A client that is to report ready does so between the two parts, and
+// waits there until caches may send the answers that they hold back.
 func (s *matrixSession) pause(batch requestBatch) func() {
 	switch {
 	case !batch.inPieces:
 		return nil
-	case !batch.meets:
+	case !batch.readyOnceWritten:
 		return func() {}
 	default:
 		return func() {
-			s.meet()
-			<-s.run.released
+			s.reportReady()
+			<-s.run.answersReleased
 		}
 	}
 }
@@ -275,22 +280,23 @@
 	return requests
 }
 
-// resent returns the requests that are to be sent again on a new connection, as new ones.
-func (s *matrixSession) resent(requests []*oracleRequest) (again []*oracleRequest) {
+// requestsToResend returns new requests for those that the router did not read, to be sent on a new
+// connection.
+func (s *matrixSession) requestsToResend(requests []*oracleRequest) (again []*oracleRequest) {
 	for _, r := range s.run.oracle.unread(s.client.conn, requests) {
 		again = append(again, &oracleRequest{id: r.id + "-again", class: r.class, timeout: r.timeout})
 	}
 	return again
 }
 
-// connect opens a connection unless one is open. It reports false if the router takes no more.
+// connect opens a connection unless one is open. It reports false if the router takes no more connections.
 func (s *matrixSession) connect() bool {
 	if s.client != nil && !s.client.hasEnded() {
 		return true
 	}
 	client, err := dialOracle(s.run.oracle, s.run.router.addr)
 	if err != nil {
-		if s.run.situation != situationTerminate {
+		if s.run.scenario != scenarioTerminate {
 			s.run.t.Errorf("%s could not connect: %v", s.script.name, err)
 		}
 		return false
