--- a/internal/router/dial_fault_test.go
+++ b/internal/router/dial_fault_test.go
@@ -28,17 +28,17 @@
 	}
 }
 
-// machineFaults are errors of connect, socket and epoll_ctl that come from the router's own machine.
-var machineFaults = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EADDRINUSE,
+// localErrors are errors of connect, socket and epoll_ctl that come from the router's own machine.
+var localErrors = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EADDRINUSE,
 	unix.EAGAIN, unix.EINTR, unix.ECONNABORTED, unix.ENOSPC}
 
-// routeFaults are errors of connect that tell of a route that is missing, perhaps for a moment.
-var routeFaults = []error{unix.ENETUNREACH, unix.ENETDOWN}
+// routeErrors are errors of connect that tell of a route that is missing, perhaps for a moment.
+var routeErrors = []error{unix.ENETUNREACH, unix.ENETDOWN}
 
-// TestDialIsRepeatedAfterFaultOfOwnMachine checks that attempts outlast a fault that is not the
+// TestDialIsRetriedAfterLocalError checks that attempts outlast a fault that is not the
 // server's.
-func TestDialIsRepeatedAfterFaultOfOwnMachine(t *testing.T) {
-	for _, err := range append(routeFaults, machineFaults...) {
+func TestDialIsRetriedAfterLocalError(t *testing.T) {
+	for _, err := range append(routeErrors, localErrors...) {
 		t.Run(err.Error(), func(t *testing.T) {
 			cache := newFakeCache(t)
 			harness := newLoopHarness(t, cache.addr(), nil)
@@ -53,15 +53,15 @@
 	}
 }
 
-// TestLastingDialFault checks that dials do not spin while a fault of the router's own machine lasts,
+// TestPersistentDialError checks that dials do not spin while a fault of the router's own machine lasts,
 // and how the attempts end then: a machine without resources says nothing about the server, while a
 // route that is missing for so long leads to none.
-func TestLastingDialFault(t *testing.T) {
-	for _, err := range append(routeFaults, machineFaults...) {
+func TestPersistentDialError(t *testing.T) {
+	for _, err := range append(routeErrors, localErrors...) {
 		t.Run(err.Error(), func(t *testing.T) {
 			t.Parallel()
 			want := policy.ConnectFailed
-			if slices.Contains(machineFaults, err) {
+			if slices.Contains(localErrors, err) {
 				want = policy.NotSent
 			}
 			const dialTimeout = 500 * time.Millisecond
@@ -82,12 +82,12 @@
 			for range burst {
 				harness.wantOutcome(want)
 			}
-			if dials, most := system.callCount(callDial), maxDials*int(dialTimeout/(10*time.Millisecond)); dials > most {
-				t.Errorf("%d dials in %v, want %d at most", dials, dialTimeout, most)
+			if dials, maxDialCount := system.callCount(callDial), maxDials*int(dialTimeout/(10*time.Millisecond)); dials > maxDialCount {
+				t.Errorf("%d dials in %v, want %d at most", dials, dialTimeout, maxDialCount)
 			}
-			waitUntil(t, "the end of the dials", func() (none bool) {
-				harness.do(func() { none = harness.loop.pools["c1"].dialing == 0 })
-				return none
+			waitUntil(t, "the end of the dials", func() (done bool) {
+				harness.do(func() { done = harness.loop.pools["c1"].dialing == 0 })
+				return done
 			})
 			harness.wantIdleConns(0)
 		})
--- a/internal/router/dial_test.go
+++ b/internal/router/dial_test.go
@@ -37,11 +37,11 @@
 }
 
 // wantIdleConns wants n connections, all of them idle, and as many descriptors in use.
-func (r *loopHarness) wantIdleConns(n int) {
-	r.t.Helper()
-	r.do(func() {
-		if p := r.loop.pools["c1"]; r.loop.upstreamConns != n || len(p.conns) != n || len(p.idle) != n || p.dialing != 0 {
-			r.t.Errorf("%d descriptors, %d connections, %d idle, %d dials; want %d idle", r.loop.upstreamConns, len(p.conns), len(p.idle),
+func (h *loopHarness) wantIdleConns(n int) {
+	h.t.Helper()
+	h.do(func() {
+		if p := h.loop.pools["c1"]; h.loop.upstreamConns != n || len(p.conns) != n || len(p.idle) != n || p.dialing != 0 {
+			h.t.Errorf("%d descriptors, %d connections, %d idle, %d dials; want %d idle", h.loop.upstreamConns, len(p.conns), len(p.idle),
 				p.dialing, n)
 		}
 	})
@@ -51,13 +51,13 @@
 // is counted once.
 func TestSlowDialsServeBurst(t *testing.T) {
 	addr, accept := slowAcceptServer(t)
-	r := newLoopHarness(t, addr, nil)
+	harness := newLoopHarness(t, addr, nil)
 	const burst = 50
 	for range burst {
-		r.sendAttempt(r.newRequest(nil), long)
+		harness.sendAttempt(harness.newRequest(nil), long)
 	}
-	r.do(func() {
-		if p := r.loop.pools["c1"]; p.dialing != maxDials || len(p.queue) != burst {
+	harness.do(func() {
+		if p := harness.loop.pools["c1"]; p.dialing != maxDials || len(p.queue) != burst {
 			t.Errorf("%d dials, %d attempts queued", p.dialing, len(p.queue))
 		}
 	})
@@ -67,80 +67,80 @@
 		cmd := receive(t, cache.commands, "command")
 		conns[cmd.conn] = true
 		cmd.reply(t, servedReply)
-		r.wantOutcome(policy.Served)
+		harness.wantOutcome(policy.Served)
 	}
-	waitUntil(t, "the end of the dials", func() (none bool) {
-		r.do(func() { none = r.loop.pools["c1"].dialing == 0 })
-		return none
+	waitUntil(t, "the end of the dials", func() (done bool) {
+		harness.do(func() { done = harness.loop.pools["c1"].dialing == 0 })
+		return done
 	})
-	r.do(func() {
-		r.loop.perform(policy.CloseIdleConnections{Cache: "c1"})
+	harness.do(func() {
+		harness.loop.perform(policy.CloseIdleConnections{Cache: "c1"})
 	})
 	for range conns {
 		receive(t, cache.closed, "end of an idle connection")
 	}
-	r.wantIdleConns(0)
+	harness.wantIdleConns(0)
 }
 
 // TestDialTimeoutFailsBurst: the attempts fail to connect, and nothing of them is written once the server accepts
 // connections again.
 func TestDialTimeoutFailsBurst(t *testing.T) {
 	addr, accept := slowAcceptServer(t)
-	r := newLoopHarness(t, addr, func(c *config.Config) { c.Transport.DialTimeout = 300_000 })
+	harness := newLoopHarness(t, addr, func(c *config.Config) { c.Transport.DialTimeout = 300_000 })
 	const burst = 50
 	for range burst {
-		r.sendAttempt(r.newRequest(nil), long)
+		harness.sendAttempt(harness.newRequest(nil), long)
 	}
 	for range burst {
-		r.wantOutcome(policy.ConnectFailed)
+		harness.wantOutcome(policy.ConnectFailed)
 	}
-	waitUntil(t, "the end of the dials", func() (none bool) {
-		r.do(func() { none = r.loop.pools["c1"].dialing == 0 })
-		return none
+	waitUntil(t, "the end of the dials", func() (done bool) {
+		harness.do(func() { done = harness.loop.pools["c1"].dialing == 0 })
+		return done
 	})
-	r.wantIdleConns(0)
+	harness.wantIdleConns(0)
 	cache := accept()
-	r.do(func() { r.loop.cfg.Transport.DialTimeout = testTimeout.Microseconds() })
-	r.wantServedNext(func() *fakeCache { return cache })
+	harness.do(func() { harness.loop.cfg.Transport.DialTimeout = testTimeout.Microseconds() })
+	harness.wantServedNext(func() *fakeCache { return cache })
 }
 
 // wantServedNext wants the next request to be the first that the server is sent, on a connection that is then idle.
-func (r *loopHarness) wantServedNext(server func() *fakeCache) {
-	r.t.Helper()
-	q := r.newRequest(nil)
-	r.do(func() { q.command.Args[resp.IDArgument] = []byte("last") })
-	r.sendAttempt(q, long)
-	cmd := receive(r.t, server().commands, "command")
+func (h *loopHarness) wantServedNext(server func() *fakeCache) {
+	h.t.Helper()
+	req := h.newRequest(nil)
+	h.do(func() { req.command.Args[resp.IDArgument] = []byte("last") })
+	h.sendAttempt(req, long)
+	cmd := receive(h.t, server().commands, "command")
 	if cmd.args[2] != "last" {
-		r.t.Errorf("the server was sent %q", cmd.args)
+		h.t.Errorf("the server was sent %q", cmd.args)
 	}
-	cmd.reply(r.t, servedReply)
-	r.wantOutcome(policy.Served)
-	r.wantIdleConns(1)
+	cmd.reply(h.t, servedReply)
+	h.wantOutcome(policy.Served)
+	h.wantIdleConns(1)
 }
 
-// TestSlowDialCarriesNoFinishedAttempt: the attempt that it was dialed for has ended, and the next request uses the
+// TestSlowDialSendsNoEndedAttempt: the attempt that it was dialed for has ended, and the next request uses the
 // connection.
-func TestSlowDialCarriesNoFinishedAttempt(t *testing.T) {
+func TestSlowDialSendsNoEndedAttempt(t *testing.T) {
 	for name, end := range map[string]func(*loopHarness, *request){
-		"timed out": func(_ *loopHarness, q *request) { q.attempts[0].abandon(policy.TimedOut) },
-		"start window closed": func(r *loopHarness, q *request) {
-			q.attempts[0].startBefore = r.loop.now
-			r.loop.pools["c1"].dispatch()
+		"timed out": func(_ *loopHarness, req *request) { req.attempts[0].abandon(policy.TimedOut) },
+		"start window closed": func(harness *loopHarness, req *request) {
+			req.attempts[0].startBefore = harness.loop.now
+			harness.loop.pools["c1"].dispatch()
 		},
-		"cancelled":   func(r *loopHarness, q *request) { r.loop.perform(policy.Cancel{ID: q.id, Attempt: 0}) },
-		"rejected":    func(r *loopHarness, q *request) { r.loop.perform(policy.Reject{ID: q.id}) },
-		"client gone": func(r *loopHarness, q *request) { r.loop.clientDisconnected(q.client) },
+		"cancelled":   func(harness *loopHarness, req *request) { harness.loop.perform(policy.Cancel{ID: req.id, Attempt: 0}) },
+		"rejected":    func(harness *loopHarness, req *request) { harness.loop.perform(policy.Reject{ID: req.id}) },
+		"client gone": func(harness *loopHarness, req *request) { harness.loop.clientDisconnected(req.client) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr, accept := slowAcceptServer(t)
-			r := newLoopHarness(t, addr, nil)
-			q := r.newRequest(nil)
-			r.sendAttempt(q, long)
-			r.do(func() { end(r, q) })
-			r.wantOutcome(policy.NotSent)
-			r.wantServedNext(accept)
+			harness := newLoopHarness(t, addr, nil)
+			req := harness.newRequest(nil)
+			harness.sendAttempt(req, long)
+			harness.do(func() { end(harness, req) })
+			harness.wantOutcome(policy.NotSent)
+			harness.wantServedNext(accept)
 		})
 	}
 }
@@ -148,24 +148,24 @@
 // TestDialTimeoutFailsNoLaterAttempt: a later attempt has a dial and a dial deadline of its own.
 func TestDialTimeoutFailsNoLaterAttempt(t *testing.T) {
 	addr, accept := slowAcceptServer(t)
-	r := newLoopHarness(t, addr, nil)
-	q, later := r.newRequest(nil), r.newRequest(nil)
-	r.sendAttempt(q, long)
-	r.do(func() {
-		p := r.loop.pools["c1"]
+	harness := newLoopHarness(t, addr, nil)
+	req, later := harness.newRequest(nil), harness.newRequest(nil)
+	harness.sendAttempt(req, long)
+	harness.do(func() {
+		p := harness.loop.pools["c1"]
 		var first *upstreamConn
 		for first = range p.conns {
 		}
-		q.attempts[0].finish(policy.ConnectFailed, nil) // its dial deadline has passed
-		r.loop.perform(policy.Send{ID: later.id, Cache: "c1"})
+		req.attempts[0].finish(policy.ConnectFailed, nil) // its dial deadline has passed
+		harness.loop.perform(policy.Send{ID: later.id, Cache: "c1"})
 		p.dialDone(first, nil, os.ErrDeadlineExceeded)
 		if later.attempts[0].state != attemptQueued {
 			t.Error("the later attempt has ended")
 		}
 	})
-	r.wantOutcome(policy.ConnectFailed)
+	harness.wantOutcome(policy.ConnectFailed)
 	receive(t, accept().commands, "command").reply(t, servedReply)
-	r.wantOutcome(policy.Served)
+	harness.wantOutcome(policy.Served)
 }
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
@@ -175,48 +175,48 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	r := newLoopHarness(t, addr, nil)
-	r.sendAttempt(r.newRequest(nil), long)
-	r.wantOutcome(policy.ConnectFailed)
+	harness := newLoopHarness(t, addr, nil)
+	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.wantOutcome(policy.ConnectFailed)
 }
 
 func TestDialTimeoutIsConnectFailed(t *testing.T) {
-	r := newLoopHarness(t, unreachableAddr(t), func(c *config.Config) { c.Transport.DialTimeout = 50_000 })
-	r.sendAttempt(r.newRequest(nil), long)
-	r.wantOutcome(policy.ConnectFailed)
+	harness := newLoopHarness(t, unreachableAddr(t), func(c *config.Config) { c.Transport.DialTimeout = 50_000 })
+	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.wantOutcome(policy.ConnectFailed)
 }
 
 // TestDrainDuringDial: a queued attempt is not sent once the router knows that the server is draining.
 func TestDrainDuringDial(t *testing.T) {
 	addr := unreachableAddr(t)
-	r := newLoopHarness(t, addr, nil)
-	r.sendAttempt(r.newRequest(nil), long)
-	r.do(func() {
-		h, err := discovery.ParseEndpointList([]byte(endpointListJSON(2, false, endpointJSON("c1", addr, "terminating"))))
+	harness := newLoopHarness(t, addr, nil)
+	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.do(func() {
+		list, err := discovery.ParseEndpointList([]byte(endpointListJSON(2, false, endpointJSON("c1", addr, "terminating"))))
 		if err != nil {
 			t.Error(err)
 		}
-		r.loop.applyEndpoints(h, h.Kind())
+		harness.loop.applyEndpoints(list, list.Kind())
 	})
-	r.wantOutcome(policy.NotSent)
+	harness.wantOutcome(policy.NotSent)
 }
 
 // TestBurstStaysWithinConnectionLimit: a burst is served one request after the other on few connections.
 func TestBurstStaysWithinConnectionLimit(t *testing.T) {
 	cache := newFakeCache(t)
-	r := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 12 })
+	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 12 })
 	const burst = 100
 	for range burst {
-		r.sendAttempt(r.newRequest(nil), long)
+		harness.sendAttempt(harness.newRequest(nil), long)
 	}
 	conns := map[net.Conn]bool{}
 	for range burst {
 		cmd := receive(t, cache.commands, "command")
 		conns[cmd.conn] = true
 		cmd.reply(t, servedReply)
-		r.wantOutcome(policy.Served)
+		harness.wantOutcome(policy.Served)
 	}
-	if most := maxConnsPerCache / 12; len(conns) > most {
-		t.Errorf("%d connections for %d requests, want %d at most", len(conns), burst, most)
+	if maxConns := maxConnsPerCache / 12; len(conns) > maxConns {
+		t.Errorf("%d connections for %d requests, want %d at most", len(conns), burst, maxConns)
 	}
 }
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -24,19 +24,19 @@
 // TestClientDisconnectsAfterLastCommand checks that a disconnect is noticed although no more
 // commands are taken from the client, so that nothing is forwarded for it.
 func TestClientDisconnectsAfterLastCommand(t *testing.T) {
-	for end, wire := range map[string]string{
+	for name, wire := range map[string]string{
 		"draining":       "",
 		"QUIT":           encodeCommand("QUIT"),
 		"protocol error": "*x\r\n",
 		"much rubbish":   rubbishBeyondDiscard(),
 	} {
-		for how, disconnect := range disconnects {
-			t.Run(end+", "+how, func(t *testing.T) {
+		for method, disconnect := range disconnects {
+			t.Run(name+", "+method, func(t *testing.T) {
 				router, harness := startScriptedRouter(t)
 				client := dial(t, router.addr)
 				client.send(getCommand("r1") + wire)
 				req := harness.onlyRequest()
-				if end == "draining" {
+				if name == "draining" {
 					router.srv.closeIdleClients()
 				} else {
 					waitUntil(t, "pending replies", func() bool { return req.client.pendingReplies.Load() == 2 })
@@ -51,8 +51,8 @@
 // TestClientDisconnectsBehindFullReplyQueue fills the queue of replies, so that the router does not
 // read on to the end of the connection.
 func TestClientDisconnectsBehindFullReplyQueue(t *testing.T) {
-	for how, disconnect := range disconnects {
-		t.Run(how, func(t *testing.T) {
+	for method, disconnect := range disconnects {
+		t.Run(method, func(t *testing.T) {
 			router, harness := startScriptedRouter(t)
 			client := dial(t, router.addr)
 			client.send(strings.Repeat(getCommand("r"), 2*maxPipelined))
@@ -66,8 +66,8 @@
 // TestDisconnectIsDetectedBeforeSend has the disconnect reported to the loop only after the engine
 // has decided to forward the request.
 func TestDisconnectIsDetectedBeforeSend(t *testing.T) {
-	for how, disconnect := range disconnects {
-		t.Run(how, func(t *testing.T) {
+	for method, disconnect := range disconnects {
+		t.Run(method, func(t *testing.T) {
 			cache := newFakeCache(t)
 			router, harness := startScriptedRouter(t, endpointJSON("c1", cache.addr(), "in_service"))
 			client := dial(t, router.addr)
@@ -185,8 +185,8 @@
 }
 
 // disconnect ends a client's connection and waits until the router's side of it shows that.
-func (d *disconnectTest) disconnect(client *testClient, how func(*testClient)) {
-	how(client)
+func (d *disconnectTest) disconnect(client *testClient, method func(*testClient)) {
+	method(client)
 	d.waitForDisconnects(1)
 }
 
@@ -209,9 +209,9 @@
 func (d *disconnectTest) sendSecondRequest() (client *testClient, perform func()) {
 	client = d.dial()
 	client.send(getCommand("r1"))
-	waitUntil(d.t, "a second request", func() (two bool) {
-		d.do(func() { two = d.harness.loop.openRequests == 2 })
-		return two
+	waitUntil(d.t, "a second request", func() (arrived bool) {
+		d.do(func() { arrived = d.harness.loop.openRequests == 2 })
+		return arrived
 	})
 	return client, func() {
 		for _, req := range d.harness.loop.requests {
@@ -268,7 +268,7 @@
 func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	for name, c := range map[string]struct {
 		idleConns int
-		run       func(d *disconnectTest, how func(*testClient)) // called while the loop is free
+		run       func(d *disconnectTest, method func(*testClient)) // called while the loop is free
 	}{
 		"first attempt":                       {1, (*disconnectTest).beforeFirstAttempt},
 		"first attempt, and a poll fails":     {1, (*disconnectTest).beforeFirstAttemptWithFailingPoll},
@@ -282,8 +282,8 @@
 		"disconnected before accept":          {1, (*disconnectTest).beforeAccept},
 		"under load":                          {8, (*disconnectTest).underLoad},
 	} {
-		for how, disconnect := range disconnects {
-			t.Run(name+", "+how, func(t *testing.T) {
+		for method, disconnect := range disconnects {
+			t.Run(name+", "+method, func(t *testing.T) {
 				d := newDisconnectTest(t, c.idleConns)
 				c.run(d, disconnect)
 				d.wantNothingSent()
@@ -292,36 +292,36 @@
 	}
 }
 
-func (d *disconnectTest) beforeFirstAttempt(how func(*testClient)) {
+func (d *disconnectTest) beforeFirstAttempt(method func(*testClient)) {
 	client, req := d.sendRequest()
 	d.do(func() {
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 		d.perform(req, "c1")
 	})
 }
 
-func (d *disconnectTest) beforeFirstAttemptWithFailingPoll(how func(*testClient)) {
+func (d *disconnectTest) beforeFirstAttemptWithFailingPoll(method func(*testClient)) {
 	client, req := d.sendRequest()
 	d.do(func() {
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 		d.system.injectError(callPoll, unix.ENOMEM, 3)
 		d.perform(req, "c1")
 	})
 }
 
-func (d *disconnectTest) behindUnreadCommands(how func(*testClient)) {
+func (d *disconnectTest) behindUnreadCommands(method func(*testClient)) {
 	client := d.dial()
 	client.send(strings.Repeat(getCommand("r1"), 2*maxPipelined))
 	d.harness.waitForFullReplyQueue()
 	d.do(func() {
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 		for _, req := range d.harness.loop.requests {
 			d.perform(req, "c1")
 		}
 	})
 }
 
-func (d *disconnectTest) beforeRetry(how func(*testClient)) {
+func (d *disconnectTest) beforeRetry(method func(*testClient)) {
 	client, req := d.sendRequest()
 	d.do(func() {
 		d.harness.loop.engine = d.engine
@@ -331,30 +331,30 @@
 	d.do(func() {
 		first.reply(d.t, resp.FailedReply)
 		d.waitForQueuedEvents(1)
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 	})
 }
 
-func (d *disconnectTest) beforeHedge(how func(*testClient)) {
+func (d *disconnectTest) beforeHedge(method func(*testClient)) {
 	client, req := d.sendRequest()
 	d.do(func() { d.perform(req, "c1") })
 	receive(d.t, d.cache.commands, "command")
 	d.do(func() {
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 		d.perform(req, "c1")
 	})
 }
 
-func (d *disconnectTest) waitingForDial(how func(*testClient)) {
+func (d *disconnectTest) waitingForDial(method func(*testClient)) {
 	client, req := d.sendRequest()
 	d.do(func() {
 		d.perform(req, "c1")
 		d.waitForQueuedEvents(1) // the connection is up
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 	})
 }
 
-func (d *disconnectTest) waitingForConnection(how func(*testClient)) {
+func (d *disconnectTest) waitingForConnection(method func(*testClient)) {
 	d.do(func() { d.harness.loop.pools["c1"].maxConns = 1 })
 	d.harness.sendAttempt(d.harness.newRequest(nil), long)
 	busy := receive(d.t, d.cache.commands, "command")
@@ -363,11 +363,11 @@
 		performSecond()
 		busy.reply(d.t, servedReply)
 		d.waitForQueuedEvents(1)
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 	})
 }
 
-func (d *disconnectTest) waitingForDescriptor(how func(*testClient)) {
+func (d *disconnectTest) waitingForDescriptor(method func(*testClient)) {
 	d.do(func() { d.harness.loop.descriptors.maxUpstreamConns = 1 })
 	req := d.harness.newRequest(nil)
 	d.do(func() { d.perform(req, "c2") })
@@ -379,27 +379,27 @@
 		d.harness.loop.pools["c1"].dispatch()
 		d.harness.loop.upstreamConns++
 		d.waitForQueuedEvents(1) // ... and the connection is up
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 	})
 	busy.reply(d.t, servedReply)
 }
 
-func (d *disconnectTest) waitingForSettling(how func(*testClient)) {
+func (d *disconnectTest) waitingForSettling(method func(*testClient)) {
 	client, req := d.sendRequest()
 	d.do(func() {
 		d.harness.loop.settleTime = testTimeout.Microseconds()
 		d.perform(req, "c1")
-		d.disconnect(client, how)
+		d.disconnect(client, method)
 		d.harness.loop.settleTime = 0
 		d.harness.loop.pools["c1"].dispatch()
 	})
 }
 
-func (d *disconnectTest) beforeAccept(how func(*testClient)) {
+func (d *disconnectTest) beforeAccept(method func(*testClient)) {
 	d.do(func() { d.harness.loop.engine = d.engine })
 	client := dial(d.t, d.router.addr)
 	client.send(getCommand("r1"))
-	how(client)
+	method(client)
 	d.do(func() {
 		d.listener.admit <- struct{}{}
 		d.waitForQueuedEvents(1)
@@ -407,7 +407,7 @@
 	})
 }
 
-func (d *disconnectTest) underLoad(how func(*testClient)) {
+func (d *disconnectTest) underLoad(method func(*testClient)) {
 	const clients = 200
 	d.do(func() {
 		d.harness.loop.engine = d.engine
@@ -415,7 +415,7 @@
 			client := d.dial()
 			client.send(getCommand(fmt.Sprint("r", i)))
 			d.waitForQueuedEvents(i + 1)
-			how(client)
+			method(client)
 		}
 		d.waitForDisconnects(clients)
 	})
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -14,21 +14,21 @@
 	"marlstage/policy"
 )
 
-// call is a call of the router to a fake discovery service.
-type call struct {
+// discoveryCall is a call of the router to a fake discovery service.
+type discoveryCall struct {
 	query string
 	reply chan string // a body, or empty for status 503
 }
 
 // newFakeDiscovery returns the address of a discovery service that hands each call to the test.
-func newFakeDiscovery(t *testing.T) (addr string, calls chan call) {
+func newFakeDiscovery(t *testing.T) (addr string, calls chan discoveryCall) {
 	t.Helper()
-	calls = make(chan call)
-	addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request, over <-chan struct{}) {
-		c := call{r.URL.String(), make(chan string, 1)}
+	calls = make(chan discoveryCall)
+	addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request, done <-chan struct{}) {
+		c := discoveryCall{r.URL.String(), make(chan string, 1)}
 		select {
 		case calls <- c:
-		case <-over:
+		case <-done:
 			return
 		}
 		select {
@@ -37,7 +37,7 @@
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 			_, _ = fmt.Fprint(w, body) // fails only if the router has gone
-		case <-over:
+		case <-done:
 		case <-r.Context().Done():
 		}
 	})
@@ -49,7 +49,7 @@
 func TestWatchContinuesAfterResponse(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := newFakeDiscovery(t)
-	r := startRouter(t, testConfig(t, addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
+	router := startRouter(t, testConfig(t, addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	first := receive(t, calls, "call")
 	if want := "/discovery/hosts?after=1&wait_ms=3000"; first.query != want {
 		t.Errorf("call %s, want %s", first.query, want)
@@ -59,15 +59,15 @@
 	if want := "/discovery/hosts?after=7&wait_ms=3000"; second.query != want {
 		t.Errorf("call %s, want %s", second.query, want)
 	}
-	c := dial(t, r.addr)
-	c.send(getCommand("r1"))
+	client := dial(t, router.addr)
+	client.send(getCommand("r1"))
 	receive(t, cache.commands, "command").reply(t, servedReply)
-	c.wantLine("value")
+	client.wantLine("value")
 	second.reply <- endpointListJSON(9, true) // a snapshot without the cache: it is removed
 	receive(t, calls, "call")
 	receive(t, cache.closed, "end of the idle connection")
-	c.send(getCommand("r2"))
-	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
+	client.send(getCommand("r2"))
+	if got := client.readLine(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("reply %q", got)
 	}
 }
@@ -98,18 +98,18 @@
 func TestOptionalWatchIsOpened(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := newFakeDiscovery(t)
-	r := startRouter(t, testConfig(t, addr, func(in map[string]any) {
+	router := startRouter(t, testConfig(t, addr, func(in map[string]any) {
 		in["settings"].(map[string]any)["discovery"] = "automatic"
 	}, endpointJSON("c1", cache.addr(), "in_service")))
-	c := dial(t, r.addr)
-	c.send(getCommand("r1"))
+	client := dial(t, router.addr)
+	client.send(getCommand("r1"))
 	receive(t, cache.commands, "command").reply(t, servedReply)
-	c.wantLine("value")
+	client.wantLine("value")
 	receive(t, calls, "call").reply <- "" // fails
 	receive(t, calls, "call after a failure").reply <- endpointListJSON(2, false, endpointJSON("c1", cache.addr(), "terminating"))
 	receive(t, calls, "next call") // the router has applied the draining state
-	c.send(getCommand("r2"))
-	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY") {
+	client.send(getCommand("r2"))
+	if got := client.readLine(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("reply %q", got)
 	}
 }
@@ -121,21 +121,21 @@
 		cache := newFakeCache(t)
 		old, oldCalls := newFakeDiscovery(t)
 		moved, calls := newFakeDiscovery(t)
-		r := startRouter(t, testConfig(t, old, func(in map[string]any) { in["settings"].(map[string]any)["discovery"] = mode },
+		router := startRouter(t, testConfig(t, old, func(in map[string]any) { in["settings"].(map[string]any)["discovery"] = mode },
 			endpointJSON("c1", cache.addr(), "in_service")))
-		last := receive(t, oldCalls, "call")
-		r.srv.MoveDiscovery("127.0.0.1:1")
-		r.srv.MoveDiscovery(moved) // a second signal before the first had any effect
+		oldCall := receive(t, oldCalls, "call")
+		router.srv.MoveDiscovery("127.0.0.1:1")
+		router.srv.MoveDiscovery(moved) // a second signal before the first had any effect
 		first := receive(t, calls, "call at the new address")
 		if first.query != want {
 			t.Errorf("%s: call %s, want %s", mode, first.query, want)
 		}
-		last.reply <- endpointListJSON(5, true)
+		oldCall.reply <- endpointListJSON(5, true)
 		first.reply <- endpointListJSON(2, mode == "automatic", endpointJSON("c1", cache.addr(), "in_service"), endpointJSON("c2", "127.0.0.1:1", "terminating"))
 		if c := receive(t, calls, "next call"); !strings.Contains(c.query, "after=2&") {
 			t.Errorf("%s: call %s", mode, c.query)
 		}
-		c := dial(t, r.addr)
+		c := dial(t, router.addr)
 		c.send(getCommand("r1"))
 		receive(t, cache.commands, "command").reply(t, servedReply)
 		c.wantLine("value")
@@ -155,15 +155,15 @@
 
 // TestFailedWatchesBackOff: the delays grow and differ, up to a bound, until a list is received.
 func TestFailedWatchesBackOff(t *testing.T) {
-	r := newLoopHarness(t, newFakeCache(t).addr(), func(c *config.Config) { c.Settings.WatchRequired = false })
-	r.do(func() {
+	harness := newLoopHarness(t, newFakeCache(t).addr(), func(c *config.Config) { c.Settings.WatchRequired = false })
+	harness.do(func() {
 		delays := map[policy.Time]bool{}
 		for round := range 20 {
-			r.loop.watchBackoff.Reset()
+			harness.loop.watchBackoff.Reset()
 			for i := range 8 {
 				// Half of the drain grace: changes during an outage count as notified soon after its end.
-				longest := min(discovery.BackoffBase<<min(i, discovery.MaxBackoffDoublings), r.loop.cfg.Settings.DrainGrace/2)
-				delay := failWatch(r.loop)
+				longest := min(discovery.BackoffBase<<min(i, discovery.MaxBackoffDoublings), harness.loop.cfg.Settings.DrainGrace/2)
+				delay := failWatch(harness.loop)
 				if delays[delay] = true; delay < longest/2 || delay > longest {
 					t.Errorf("delay %d of round %d is %d us, want %d to %d", i, round, delay, longest/2, longest)
 				}
@@ -173,15 +173,15 @@
 			t.Errorf("only %d of %d delays differ", len(delays), 20*8)
 		}
 		list := discovery.EndpointList{Version: 5}
-		if r.loop.applyEndpoints(list, list.Kind()); failWatch(r.loop) > discovery.BackoffBase {
+		if harness.loop.applyEndpoints(list, list.Kind()); failWatch(harness.loop) > discovery.BackoffBase {
 			t.Error("after a list was received the delay is still a long one")
 		}
 		const longest = discovery.BackoffBase << discovery.MaxBackoffDoublings
-		r.loop.cfg.Settings.DrainGrace = 10 * longest
+		harness.loop.cfg.Settings.DrainGrace = 10 * longest
 		for range discovery.MaxBackoffDoublings {
-			failWatch(r.loop)
+			failWatch(harness.loop)
 		}
-		if delay := failWatch(r.loop); delay < longest/2 {
+		if delay := failWatch(harness.loop); delay < longest/2 {
 			t.Errorf("with a long drain grace the longest delay is %d", delay)
 		}
 	})
@@ -207,7 +207,7 @@
 	for _, mode := range []string{"automatic", "subscribe"} {
 		addr, calls := newFakeDiscovery(t)
 		cache := newFakeCache(t)
-		r := startRouter(t, testConfig(t, addr, func(in map[string]any) {
+		router := startRouter(t, testConfig(t, addr, func(in map[string]any) {
 			settings := in["settings"].(map[string]any)
 			settings["discovery"] = mode
 			settings["rules"].(map[string]any)["askEvery"] = 1_000_000
@@ -226,7 +226,7 @@
 		if c := receive(t, calls, "call"); !strings.Contains(c.query, "after=5&") {
 			t.Errorf("%s: call %s", mode, c.query)
 		}
-		c := dial(t, r.addr)
+		c := dial(t, router.addr)
 		c.send(getCommand("r1"))
 		receive(t, cache.commands, "command").reply(t, servedReply)
 		c.wantLine("value")
@@ -261,46 +261,46 @@
 func TestFirstCallAfterOutageIsInTime(t *testing.T) {
 	stall := (discovery.WatchWait(true) + discovery.ResponseAllowance).Microseconds()
 	outages := []outage{{"refusal", 100}, {"stall", stall}, {"lost packets", discovery.ResponseAllowance.Microseconds()}, {"503", 5000}}
-	for _, down := range outages {
-		for _, back := range []policy.Time{1_000_000, 25_000_000, 40_000_000} {
-			testFirstCalls(t, down, back)
+	for _, o := range outages {
+		for _, recoversAt := range []policy.Time{1_000_000, 25_000_000, 40_000_000} {
+			testFirstCalls(t, o, recoversAt)
 		}
 	}
 }
 
 // testFirstCalls checks the first calls of many routers after the outage, which ends at the given time and up to
 // five seconds later.
-func testFirstCalls(t *testing.T, down outage, back policy.Time) {
+func testFirstCalls(t *testing.T, o outage, recoversAt policy.Time) {
 	t.Helper()
 	const callAllowance, routers = 500_000, 200 // microseconds that the call may take; seeds
 	callsByTenth := map[policy.Time]int{}
 	for seed := range uint64(routers) {
-		set := testConfig(t, "127.0.0.1:1", nil).Settings
-		set.PollInterval, set.DrainGrace = 10_000_000, 1_500_000
-		at := firstCall(t, set, seed, down.failsAfter, back+policy.Time(seed)*7919%5_000_000)
+		settings := testConfig(t, "127.0.0.1:1", nil).Settings
+		settings.PollInterval, settings.DrainGrace = 10_000_000, 1_500_000
+		at := firstCallAfterOutage(t, settings, seed, o.failsAfter, recoversAt+policy.Time(seed)*7919%5_000_000)
 		if at > policy.NotificationTimeout-callAllowance {
-			t.Errorf("%s until %d us: seed %d called %d us after the end of the outage", down.name, back, seed, at)
+			t.Errorf("%s until %d us: seed %d called %d us after the end of the outage", o.name, recoversAt, seed, at)
 		}
 		callsByTenth[at/100_000]++
 	}
 	for at, n := range callsByTenth {
-		if n > routers/4 && back > 1_000_000 {
-			t.Errorf("%s until %d us: %d of %d first calls came in one tenth of a second, %d", down.name, back, n, routers, at)
+		if n > routers/4 && recoversAt > 1_000_000 {
+			t.Errorf("%s until %d us: %d of %d first calls came in one tenth of a second, %d", o.name, recoversAt, n, routers, at)
 		}
 	}
 }
 
-// firstCall simulates a policy whose watches fail until the discovery service is back, a call in flight at that
+// firstCallAfterOutage simulates a policy whose watches fail until the discovery service is back, a call in flight at that
 // moment too. It returns how long after that the first call starts that succeeds.
-func firstCall(t *testing.T, set policy.Settings, seed uint64, failsAfter, back policy.Time) policy.Time {
+func firstCallAfterOutage(t *testing.T, settings policy.Settings, seed uint64, failsAfter, recoversAt policy.Time) policy.Time {
 	t.Helper()
-	engine, err := policy.New(set, seed)
+	engine, err := policy.New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const started = policy.Time(1e9)
 	timers := &timerHeap{}
-	now, called, sequence := started, policy.Time(-1), int64(0)
+	now, firstCallAt, sequence := started, policy.Time(-1), int64(0)
 	schedule := func(at policy.Time, f func()) {
 		sequence++
 		heap.Push(timers, timer{at, sequence, f})
@@ -312,8 +312,8 @@
 			case policy.SetTimer:
 				schedule(a.At, func() { handle(&policy.TimerFired{Token: a.Token}) })
 			case policy.Watch:
-				if now >= started+back {
-					called = now
+				if now >= started+recoversAt {
+					firstCallAt = now
 					return
 				}
 				schedule(now+failsAfter, func() { handle(&policy.EndpointsUpdate{Kind: policy.UpdateFailed}) })
@@ -321,10 +321,10 @@
 		}
 	}
 	handle(&policy.EndpointsUpdate{Kind: policy.UpdateStale, Endpoints: []policy.Endpoint{{ID: "c1", Weight: 1}}})
-	for called < 0 {
+	for firstCallAt < 0 {
 		next := heap.Pop(timers).(timer)
 		now = next.at
 		next.run()
 	}
-	return called - started - back
+	return firstCallAt - started - recoversAt
 }
--- a/internal/router/drain_busy_test.go
+++ b/internal/router/drain_busy_test.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestDrainAnswersConnectionsQueuedToTheEnd checks that the first command of a connection is answered
+// TestDrainAnswersConnectionsAcceptedAtItsEnd checks that the first command of a connection is answered
 // at once where the router finds a descriptor for it only when the last replies are due.
-func TestDrainAnswersConnectionsQueuedToTheEnd(t *testing.T) {
+func TestDrainAnswersConnectionsAcceptedAtItsEnd(t *testing.T) {
 	srv, err := New(testConfig(t, silentDiscovery(t), withMinSockets, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/drain_stall_test.go
+++ b/internal/router/drain_stall_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestDrainAcceptsBehindStall holds the router up in the Accept that is to take a queued connection
+// TestDrainAcceptsAfterStall holds the router up in the Accept that is to take a queued connection
 // while it drains, for longer than the deadline of that Accept. The kernel has accepted the
 // connection, and so the request on it.
-func TestDrainAcceptsBehindStall(t *testing.T) {
+func TestDrainAcceptsAfterStall(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
 	if err != nil {
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -172,21 +172,21 @@
 // the router serves for as long as new connections come.
 func TestDrainTimeLeavesRoomForStalls(t *testing.T) {
 	const (
-		stall              = 150 * time.Millisecond
-		newConnectionsCome = 400 * time.Millisecond
+		stall               = 150 * time.Millisecond
+		newConnectionsUntil = 400 * time.Millisecond
 	)
-	for _, longest := range []time.Duration{0, 50, 200, 1000, 3000, 20000} {
-		longest *= time.Millisecond
-		killedAt := min(longest, 3*time.Second) + 700*time.Millisecond
-		due := drainTimeFor(longest.Microseconds())
-		if due <= newConnectionsCome {
-			t.Errorf("timeout %v: the last replies are due after %v", longest, due)
+	for _, longestTimeout := range []time.Duration{0, 50, 200, 1000, 3000, 20000} {
+		longestTimeout *= time.Millisecond
+		killedAt := min(longestTimeout, 3*time.Second) + 700*time.Millisecond
+		due := drainTimeFor(longestTimeout.Microseconds())
+		if due <= newConnectionsUntil {
+			t.Errorf("timeout %v: the last replies are due after %v", longestTimeout, due)
 		}
-		if longest >= stall && due+2*stall >= killedAt {
-			t.Errorf("timeout %v: the last replies are due after %v, SIGKILL comes after %v", longest, due, killedAt)
+		if longestTimeout >= stall && due+2*stall >= killedAt {
+			t.Errorf("timeout %v: the last replies are due after %v, SIGKILL comes after %v", longestTimeout, due, killedAt)
 		}
 		if due+stall >= killedAt {
-			t.Errorf("timeout %v: the last replies are due after %v, SIGKILL comes after %v", longest, due, killedAt)
+			t.Errorf("timeout %v: the last replies are due after %v, SIGKILL comes after %v", longestTimeout, due, killedAt)
 		}
 	}
 }
@@ -225,9 +225,9 @@
 	}
 }
 
-// TestBytesThatCrossTheCloseDoNotReset checks that bytes sent while the router closes the connection
+// TestBytesSentDuringCloseDoNotReset checks that bytes sent while the router closes the connection
 // do not reset it, which could lose the last reply.
-func TestBytesThatCrossTheCloseDoNotReset(t *testing.T) {
+func TestBytesSentDuringCloseDoNotReset(t *testing.T) {
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	client := dial(t, router.addr)
 	client.send(encodeCommand("PING") + encodeCommand("QUIT"))
@@ -276,9 +276,9 @@
 	}
 }
 
-// TestFilledSlotIsPreferredToTheEndOfTheLoop checks that a reply which was given before the event
+// TestFilledSlotIsReturnedAfterLoopEnds checks that a reply which was given before the event
 // loop ended is not dropped.
-func TestFilledSlotIsPreferredToTheEndOfTheLoop(t *testing.T) {
+func TestFilledSlotIsReturnedAfterLoopEnds(t *testing.T) {
 	loop := &eventLoop{done: make(chan struct{})}
 	close(loop.done)
 	client := &clientConn{srv: &Server{loop: loop}}
--- a/internal/router/hanging_discovery_test.go
+++ b/internal/router/hanging_discovery_test.go
@@ -49,17 +49,17 @@
 	d.ended <- struct{}{}
 }
 
-// TestMovesWhileCallsHang: an old call that hangs, wherever in its response, does not delay the call after SIGHUP, also
+// TestMoveDiscoveryWhileCallsHang: an old call that hangs, wherever in its response, does not delay the call after SIGHUP, also
 // at the same address and many times in a row. The last ones are left to run; the connections of earlier ones are closed.
-func TestMovesWhileCallsHang(t *testing.T) {
+func TestMoveDiscoveryWhileCallsHang(t *testing.T) {
 	const moves = 5 + maxReplacedWatches
 	for _, wire := range []string{"", "HTTP/1.1 200 OK\r\nContent-Le", statusOK + "Content-Length: 100\r\n\r\n{\"index\":9,"} {
 		d := newHangingDiscovery(t, wire)
-		r := startRouter(t, testConfig(t, d.addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
+		router := startRouter(t, testConfig(t, d.addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 		receive(t, d.calls, "call")
 		begun := time.Now()
 		for move := range moves {
-			r.srv.MoveDiscovery(d.addr)
+			router.srv.MoveDiscovery(d.addr)
 			receive(t, d.calls, "call after a move")
 			if move >= maxReplacedWatches {
 				receive(t, d.ended, "end of the oldest call")
@@ -69,11 +69,11 @@
 			t.Errorf("%q: %d moves took %v", wire, moves, elapsed)
 		}
 		for range moves {
-			r.srv.MoveDiscovery(d.addr) // in a row: some calls are given up before they are made
+			router.srv.MoveDiscovery(d.addr) // in a row: some calls are given up before they are made
 		}
 		receive(t, d.calls, "call after many moves")
-		(&loopHarness{t: t, loop: r.srv.loop}).do(func() {
-			if !r.srv.loop.watching {
+		(&loopHarness{t: t, loop: router.srv.loop}).do(func() {
+			if !router.srv.loop.watching {
 				t.Errorf("%q: no watch is open after many moves", wire)
 			}
 		})
--- a/internal/router/last_command_test.go
+++ b/internal/router/last_command_test.go
@@ -93,17 +93,17 @@
 	l.wantEnd(commands * len(command))
 }
 
-// TestIncompleteCommandIsNotReadOn checks that what comes behind a reply to an incomplete command stays
+// TestNothingIsReadAfterIncompleteCommand checks that what comes behind a reply to an incomplete command stays
 // unread: the rest of the command, and commands of a client that was slow only.
-func TestIncompleteCommandIsNotReadOn(t *testing.T) {
-	const short = 50 * time.Millisecond
+func TestNothingIsReadAfterIncompleteCommand(t *testing.T) {
+	const shortTimeout = 50 * time.Millisecond
 	for name, c := range map[string]struct {
 		edit func(*Server)
 		end  func(*Server)
 		want string
 	}{
 		"time for a command": {
-			edit: func(srv *Server) { srv.commandTimeout = short },
+			edit: func(srv *Server) { srv.commandTimeout = shortTimeout },
 			end:  func(*Server) {},
 			want: "-ERR Protocol error: " + errCommandTimeout.Error(),
 		},
@@ -148,10 +148,10 @@
 	l.wantEnd(len(quit) + 2*len(command))
 }
 
-// TestRubbishEndsAtOnce checks that the end of bytes that have none is not sought byte by byte when the
+// TestGarbageEndsConnectionWithFewReads checks that the end of bytes that have none is not sought byte by byte when the
 // last replies of a drain are due.
-func TestRubbishEndsAtOnce(t *testing.T) {
-	for name, rubbish := range map[string]string{
+func TestGarbageEndsConnectionWithFewReads(t *testing.T) {
+	for name, garbage := range map[string]string{
 		"inline":         strings.Repeat("x", resp.MaxCommandSize/2),
 		"endless length": "*" + strings.Repeat("1", resp.MaxCommandSize/2),
 	} {
@@ -159,7 +159,7 @@
 			l := newLastCommandTest(t, nil)
 			stalled := fault{begun: make(chan struct{}), resume: make(chan struct{}), maxBytes: 1}
 			l.system.inject(callRead, stalled)
-			l.client.send(rubbish)
+			l.client.send(garbage)
 			receive(t, stalled.begun, "read")
 			l.router.srv.stopNewCommands()
 			close(stalled.resume)
--- a/internal/router/moved_discovery_test.go
+++ b/internal/router/moved_discovery_test.go
@@ -5,8 +5,10 @@
 	"time"
 )
 
-// loopOf returns a harness for the event loop of a running router.
-func loopOf(t *testing.T, r *runningRouter) *loopHarness { return &loopHarness{t: t, loop: r.srv.loop} }
+// harnessFor returns a harness for the event loop of a running router.
+func harnessFor(t *testing.T, router *runningRouter) *loopHarness {
+	return &loopHarness{t: t, loop: router.srv.loop}
+}
 
 // waitUntilOutOfService waits until the router has applied a list in which the cache accepts no requests.
 func (h *loopHarness) waitUntilOutOfService(cache string) {
@@ -17,20 +19,20 @@
 	})
 }
 
-// TestListWrittenByOldDiscoveryAfterMove: a drain that the old service tells after SIGHUP is applied while the new one
+// TestListFromOldDiscoveryAfterMove: a drain that the old service tells after SIGHUP is applied while the new one
 // is silent. The call to the new service then still continues from the version that it asked for, also after a failure.
-func TestListWrittenByOldDiscoveryAfterMove(t *testing.T) {
+func TestListFromOldDiscoveryAfterMove(t *testing.T) {
 	for mode, want := range map[string]string{"subscribe": "/discovery/hosts?after=1&wait_ms=3000", "automatic": "/discovery/hosts"} {
 		t.Run(mode, func(t *testing.T) {
 			old, oldCalls := newFakeDiscovery(t)
 			moved, calls := newFakeDiscovery(t)
-			r := startRouter(t, testConfig(t, old, func(in map[string]any) { in["settings"].(map[string]any)["discovery"] = mode },
+			router := startRouter(t, testConfig(t, old, func(in map[string]any) { in["settings"].(map[string]any)["discovery"] = mode },
 				endpointJSON("c1", "127.0.0.1:1", "in_service")))
 			held := receive(t, oldCalls, "call")
-			r.srv.MoveDiscovery(moved)
+			router.srv.MoveDiscovery(moved)
 			silent := receive(t, calls, "call at the new address")
 			held.reply <- endpointListJSON(9, false, endpointJSON("c1", "127.0.0.1:1", "terminating"))
-			loopOf(t, r).waitUntilOutOfService("c1")
+			harnessFor(t, router).waitUntilOutOfService("c1")
 			silent.reply <- "" // fails
 			if c := receive(t, calls, "call after a failure"); c.query != want {
 				t.Errorf("call %s, want %s", c.query, want)
@@ -39,19 +41,19 @@
 	}
 }
 
-// TestListWrittenByFirstOfManyServices: a drain that the old service tells after several SIGHUPs in a row is applied
+// TestListFromFirstReplacedDiscovery: a drain that the old service tells after several SIGHUPs in a row is applied
 // while the new ones are silent.
-func TestListWrittenByFirstOfManyServices(t *testing.T) {
+func TestListFromFirstReplacedDiscovery(t *testing.T) {
 	old, oldCalls := newFakeDiscovery(t)
 	silent := newHangingDiscovery(t, "")
-	r := startRouter(t, testConfig(t, old, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
+	router := startRouter(t, testConfig(t, old, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	held := receive(t, oldCalls, "call")
 	for range maxReplacedWatches {
-		r.srv.MoveDiscovery(silent.addr)
+		router.srv.MoveDiscovery(silent.addr)
 		receive(t, silent.calls, "call at the new address")
 	}
 	go func() { held.reply <- endpointListJSON(9, false, endpointJSON("c1", "127.0.0.1:1", "terminating")) }()
-	loopOf(t, r).waitUntilOutOfService("c1")
+	harnessFor(t, router).waitUntilOutOfService("c1")
 }
 
 // TestListReadBeforeMove: a list that is read but not applied yet is applied after SIGHUP, also after two in a row.
@@ -59,17 +61,17 @@
 	for _, moves := range []int{1, 2} {
 		old, oldCalls := newFakeDiscovery(t)
 		moved, calls := newFakeDiscovery(t)
-		r := startRouter(t, testConfig(t, old, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
-		h := loopOf(t, r)
+		router := startRouter(t, testConfig(t, old, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
+		harness := harnessFor(t, router)
 		held := receive(t, oldCalls, "call")
 		stalled, resume := make(chan struct{}), make(chan struct{})
-		h.loop.post(func() {
+		harness.loop.post(func() {
 			close(stalled)
 			<-resume
 			for range moves {
-				cfg := *h.loop.cfg
+				cfg := *harness.loop.cfg
 				cfg.Discovery = moved
-				h.loop.moveDiscovery(&cfg)
+				harness.loop.moveDiscovery(&cfg)
 			}
 		})
 		receive(t, stalled, "stall of the event loop")
@@ -77,7 +79,7 @@
 		receive(t, oldCalls, "next call, which follows the list")
 		close(resume)
 		receive(t, calls, "call at the new address")
-		h.waitUntilOutOfService("c1")
+		harness.waitUntilOutOfService("c1")
 	}
 }
 
@@ -85,9 +87,9 @@
 func TestOldCallEndsOnceNewDiscoveryAnswers(t *testing.T) {
 	old := newHangingDiscovery(t, "")
 	moved, calls := newFakeDiscovery(t)
-	r := startRouter(t, testConfig(t, old.addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
+	router := startRouter(t, testConfig(t, old.addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	receive(t, old.calls, "call")
-	r.srv.MoveDiscovery(moved)
+	router.srv.MoveDiscovery(moved)
 	first := receive(t, calls, "call at the new address")
 	select {
 	case <-old.ended:
@@ -101,17 +103,17 @@
 // TestOldCallEndsInTime: where the new service stays silent, the old call ends when changes count as notified.
 func TestOldCallEndsInTime(t *testing.T) {
 	old, moved := newHangingDiscovery(t, ""), newHangingDiscovery(t, "")
-	l := newStoppedLoop(t, nil)
-	cfg := *l.cfg
+	loop := newStoppedLoop(t, nil)
+	cfg := *loop.cfg
 	cfg.Discovery = old.addr
-	l.moveDiscovery(&cfg)
+	loop.moveDiscovery(&cfg)
 	receive(t, old.calls, "call")
 	cfg.Discovery = moved.addr
-	l.moveDiscovery(&cfg)
+	loop.moveDiscovery(&cfg)
 	receive(t, moved.calls, "call at the new address")
 	begun := time.Now()
-	l.now += moveRetryPeriod
-	l.runDueTimers()
+	loop.now += moveRetryPeriod
+	loop.runDueTimers()
 	receive(t, old.ended, "end of the old call")
 	if elapsed := time.Since(begun); elapsed > 2*time.Second {
 		t.Errorf("the old call ran into its own timeout, %v later", elapsed)
@@ -122,13 +124,13 @@
 func TestLateListOfOldDiscovery(t *testing.T) {
 	old, oldCalls := newFakeDiscovery(t)
 	moved, calls := newFakeDiscovery(t)
-	r := startRouter(t, testConfig(t, old, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
-	h := loopOf(t, r)
+	router := startRouter(t, testConfig(t, old, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
+	harness := harnessFor(t, router)
 	held := receive(t, oldCalls, "call")
-	r.srv.MoveDiscovery(moved)
+	router.srv.MoveDiscovery(moved)
 	first := receive(t, calls, "call at the new address")
 	stalled, resume := make(chan struct{}), make(chan struct{})
-	h.loop.post(func() {
+	harness.loop.post(func() {
 		close(stalled)
 		<-resume
 	})
@@ -138,8 +140,8 @@
 	held.reply <- endpointListJSON(9, true)
 	receive(t, oldCalls, "next call, which follows the list of the old service")
 	close(resume)
-	h.do(func() {
-		if l := h.loop; l.endpointsVersion != 2 || !l.pools["c1"].inService {
+	harness.do(func() {
+		if l := harness.loop; l.endpointsVersion != 2 || !l.pools["c1"].inService {
 			t.Errorf("the list of the old service was applied: version %d", l.endpointsVersion)
 		}
 	})
--- a/internal/router/read_ahead_test.go
+++ b/internal/router/read_ahead_test.go
@@ -9,11 +9,11 @@
 	"marlstage/internal/resp"
 )
 
-// TestClientDisconnectsBehindFullWindow has a client send more commands than the router's machine
+// TestClientDisconnectsBehindCommandsReadAhead has a client send more commands than the router's machine
 // takes while their reader waits, and disconnect. Its end comes behind them.
-func TestClientDisconnectsBehindFullWindow(t *testing.T) {
-	for how, disconnect := range disconnects {
-		t.Run(how, func(t *testing.T) {
+func TestClientDisconnectsBehindCommandsReadAhead(t *testing.T) {
+	for method, disconnect := range disconnects {
+		t.Run(method, func(t *testing.T) {
 			router, harness := startScriptedRouter(t)
 			client := dial(t, router.addr)
 			command := getCommand("r")
@@ -114,8 +114,8 @@
 // TestClientDisconnectsBehindFlood has a client send more than the router reads ahead, and disconnect, while
 // its first commands are in flight.
 func TestClientDisconnectsBehindFlood(t *testing.T) {
-	for how, disconnect := range disconnects {
-		t.Run(how, func(t *testing.T) {
+	for method, disconnect := range disconnects {
+		t.Run(method, func(t *testing.T) {
 			router, harness := startScriptedRouter(t)
 			client := dial(t, router.addr)
 			command := getCommand("r")
--- a/internal/router/ready_test.go
+++ b/internal/router/ready_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// readyTime is how soon after its start a router has to answer PING with PONG.
-const readyTime = 10 * time.Second
+// readyTimeout is how soon after its start a router has to answer PING with PONG.
+const readyTimeout = 10 * time.Second
 
 // wantReady checks that a router which was started at the given time is ready in time.
 func (c *testClient) wantReady(started time.Time) {
 	c.t.Helper()
 	c.send(encodeCommand("PING"))
 	c.wantLine("+PONG")
-	if took := time.Since(started); took >= readyTime {
+	if took := time.Since(started); took >= readyTimeout {
 		c.t.Errorf("ready after %v", took)
 	}
 }
@@ -56,7 +56,7 @@
 	addr           string
 	callsWhileDown chan string // their queries
 	up             chan struct{}
-	callsWhileUp   chan call
+	callsWhileUp   chan discoveryCall
 }
 
 func newUnavailableDiscovery(t *testing.T, silent bool) *unavailableDiscovery {
@@ -64,10 +64,10 @@
 	d := &unavailableDiscovery{
 		callsWhileDown: make(chan string, 1000),
 		up:             make(chan struct{}),
-		callsWhileUp:   make(chan call, 1000),
+		callsWhileUp:   make(chan discoveryCall, 1000),
 	}
 	d.addr = serveHTTP(t, func(w http.ResponseWriter, r *http.Request, done <-chan struct{}) {
-		c := call{r.URL.String(), make(chan string, 1)}
+		c := discoveryCall{r.URL.String(), make(chan string, 1)}
 		select {
 		case <-d.up:
 			d.callsWhileUp <- c
--- a/internal/router/settings_test.go
+++ b/internal/router/settings_test.go
@@ -53,10 +53,10 @@
 	t.Helper()
 	caches := map[string]*fakeCache{"c1": newFakeCache(t), "c2": newFakeCache(t)}
 	otherGroup := strings.Replace(endpointJSON("c2", caches["c2"].addr(), "in_service"), `"group":1`, `"group":2`, 1)
-	r := startRouter(t, testConfig(t, silentDiscovery(t), func(in map[string]any) {
+	router := startRouter(t, testConfig(t, silentDiscovery(t), func(in map[string]any) {
 		in["settings"] = json.RawMessage(otherSettings)
 	}, endpointJSON("c1", caches["c1"].addr(), "in_service"), otherGroup))
-	client := dial(t, r.addr)
+	client := dial(t, router.addr)
 	client.send(encodeCommand("C.GET", "k1", "r1", "c="+c.class+",t=hall,d=20000,k=ab12"))
 	first := ""
 	for i, reply := range c.replies {
--- a/internal/router/slow_client_test.go
+++ b/internal/router/slow_client_test.go
@@ -25,31 +25,31 @@
 				srv.commandTimeout = 300 * time.Millisecond
 				wire = encodeCommand("C.GET", strings.Repeat("k", resp.MaxArgumentSize), "r1", "c=read,d=20000")
 			}
-			c := dial(t, startServer(t, srv).addr)
-			c.send(encodeCommand("PING"))
-			c.wantLine("+PONG")
-			pace := time.NewTicker(10 * time.Millisecond) // ten seconds for the long one
-			defer pace.Stop()
+			client := dial(t, startServer(t, srv).addr)
+			client.send(encodeCommand("PING"))
+			client.wantLine("+PONG")
+			ticker := time.NewTicker(10 * time.Millisecond) // ten seconds for the long one
+			defer ticker.Stop()
 			go func() {
 				for i := range len(wire) {
-					if _, err := io.WriteString(c.nc, wire[i:i+1]); err != nil {
+					if _, err := io.WriteString(client.nc, wire[i:i+1]); err != nil {
 						return
 					}
-					<-pace.C
+					<-ticker.C
 				}
 			}()
 			if !inTime {
-				if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
+				if got := client.readLine(); !strings.HasPrefix(got, "-ERR ") {
 					t.Errorf("reply %q", got)
 				}
-				c.wantClosed()
+				client.wantClosed()
 				if len(cache.commands) > 0 {
 					t.Error("the command was forwarded")
 				}
 				return
 			}
 			receive(t, cache.commands, "command").reply(t, servedReply)
-			c.wantLine("value")
+			client.wantLine("value")
 		})
 	}
 }
--- a/internal/router/stall_monitor_test.go
+++ b/internal/router/stall_monitor_test.go
@@ -9,9 +9,9 @@
 // TestStallMonitor checks since when bytes may have arrived that are read after heartbeats, and stalls.
 func TestStallMonitor(t *testing.T) {
 	const (
-		start    policy.Time = 1_000_000
-		interval             = policy.Time(30_000)
-		longest              = policy.Time(150_000)
+		start        policy.Time = 1_000_000
+		interval                 = policy.Time(30_000)
+		longestStall             = policy.Time(150_000)
 	)
 	for name, c := range map[string]struct {
 		beats  []policy.Time // after the start
@@ -21,13 +21,13 @@
 	}{
 		"running":               {[]policy.Time{interval, 2 * interval}, 2*interval + 5, 2*interval + 5, 0},
 		"a heartbeat is late":   {[]policy.Time{interval}, interval + minStall - 1, interval + minStall - 1, 0},
-		"read ends a stall":     {[]policy.Time{interval}, interval + longest, interval, 1},
-		"read behind a stall":   {[]policy.Time{interval, interval + longest}, interval + longest + backlogTime - 1, interval, 1},
-		"read long behind it":   {[]policy.Time{longest, longest + interval}, longest + backlogTime, longest + backlogTime, 1},
+		"read ends a stall":     {[]policy.Time{interval}, interval + longestStall, interval, 1},
+		"read behind a stall":   {[]policy.Time{interval, interval + longestStall}, interval + longestStall + backlogTime - 1, interval, 1},
+		"read long behind it":   {[]policy.Time{longestStall, longestStall + interval}, longestStall + backlogTime, longestStall + backlogTime, 1},
 		"two stalls in a row":   {[]policy.Time{interval, interval + 50_000, interval + 60_000}, interval + 120_000, interval, 2},
-		"two long ones":         {[]policy.Time{800_000, 810_000}, 810_000 + longest, 810_000 - longest, 2},
-		"two stalls apart":      {[]policy.Time{longest, longest + backlogTime}, 2*longest + backlogTime, longest + backlogTime, 2},
-		"an older clock's read": {[]policy.Time{longest}, longest - 1, 0, 1},
+		"two long ones":         {[]policy.Time{800_000, 810_000}, 810_000 + longestStall, 810_000 - longestStall, 2},
+		"two stalls apart":      {[]policy.Time{longestStall, longestStall + backlogTime}, 2*longestStall + backlogTime, longestStall + backlogTime, 2},
+		"an older clock's read": {[]policy.Time{longestStall}, longestStall - 1, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			stalls := 0
