--- a/internal/router/dial_fault_test.go
+++ b/internal/router/dial_fault_test.go
@@ -11,8 +11,9 @@
 	"marlstage/policy"
 )
 
-// TestDialErrorOfPeerIsConnectFailed checks that an error of connect that the system calls a timeout,
-// but that is not the router's own, fails the attempt: nothing is gained by dialing again at once.
+// TestDialErrorOfPeerIsConnectFailed checks that a connect error that does not come from the router's own
+// machine fails the attempt without another dial, because dialing again at once gains nothing. This includes
+// ETIMEDOUT, which the system reports as a timeout although it is not the router's own dial timeout.
 func TestDialErrorOfPeerIsConnectFailed(t *testing.T) {
 	for _, err := range []error{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED, unix.ECONNRESET} {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -22,21 +23,21 @@
 			harness.sendAttempt(harness.newRequest(nil), long)
 			harness.wantOutcome(policy.ConnectFailed)
 			if dials := system.callCount(callDial); dials != 1 {
-				t.Errorf("%d dials", dials)
+				t.Errorf("%d dials, want 1", dials)
 			}
 		})
 	}
 }
 
-// localErrors are errors of connect, socket and epoll_ctl that come from the router's own machine.
+// localErrors are errors of connect, socket and epoll_ctl that are caused by the router's own machine.
 var localErrors = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EADDRINUSE,
 	unix.EAGAIN, unix.EINTR, unix.ECONNABORTED, unix.ENOSPC}
 
-// routeErrors are errors of connect that tell of a route that is missing, perhaps for a moment.
+// routeErrors are errors of connect that report a missing route, which may be temporary.
 var routeErrors = []error{unix.ENETUNREACH, unix.ENETDOWN}
 
-// TestDialIsRetriedAfterLocalError checks that attempts outlast a fault that is not the
-// server's.
+// TestDialIsRetriedAfterLocalError checks that attempts survive a few dial errors that the cache has not
+// caused.
 func TestDialIsRetriedAfterLocalError(t *testing.T) {
 	for _, err := range append(routeErrors, localErrors...) {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -46,16 +47,17 @@
 			system.injectError(callDial, err, 3)
 			harness.serveRequest(cache)
 			if dials := system.callCount(callDial); dials != 4 {
-				t.Errorf("%d dials", dials)
+				t.Errorf("%d dials, want 4", dials)
 			}
 			harness.wantIdleConns(1)
 		})
 	}
 }
 
-// TestPersistentDialError checks that dials do not spin while a fault of the router's own machine lasts,
-// and how the attempts end then: a machine without resources says nothing about the server, while a
-// route that is missing for so long leads to none.
+// TestPersistentDialError checks that the router does not dial in a busy loop while an error of its own
+// machine or a missing route lasts, and how the attempts end. A machine without resources says nothing about
+// the cache, so they end as not sent. A route that is missing for so long means that the cache cannot be
+// reached, so they end as failed to connect.
 func TestPersistentDialError(t *testing.T) {
 	for _, err := range append(routeErrors, localErrors...) {
 		t.Run(err.Error(), func(t *testing.T) {
--- a/internal/router/dial_test.go
+++ b/internal/router/dial_test.go
@@ -12,8 +12,8 @@
 	"marlstage/policy"
 )
 
-// slowAcceptServer returns the address of a server whose accept queue is full until accept is called. The first
-// handshake of each connection fails before that, so they are established late.
+// slowAcceptServer returns the address of a cache whose accept queue is full until accept is called. Before
+// that the first handshake of each connection fails, so connections are established late.
 func slowAcceptServer(t *testing.T) (addr string, accept func() *fakeCache) {
 	t.Helper()
 	addr, fd := fullAcceptQueue(t)
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		f := os.NewFile(uintptr(dup), "listener")
-		defer func() { _ = f.Close() }() // the listener has a descriptor of its own
+		defer func() { _ = f.Close() }() // net.FileListener duplicates the descriptor
 		ln, err := net.FileListener(f)
 		if err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 	}
 }
 
-// wantIdleConns wants n connections, all of them idle, and as many descriptors in use.
+// wantIdleConns checks that the pool has n connections, all of them idle, and uses as many descriptors.
 func (h *loopHarness) wantIdleConns(n int) {
 	h.t.Helper()
 	h.do(func() {
@@ -47,8 +47,8 @@
 	})
 }
 
-// TestSlowDialsServeBurst: once the connections are established, all requests of a burst are served, and each descriptor
-// is counted once.
+// TestSlowDialsServeBurst checks that all requests of a burst are served once connections are established,
+// and that each descriptor is counted once.
 func TestSlowDialsServeBurst(t *testing.T) {
 	addr, accept := slowAcceptServer(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -82,8 +82,8 @@
 	harness.wantIdleConns(0)
 }
 
-// TestDialTimeoutFailsBurst: the attempts fail to connect, and nothing of them is written once the server accepts
-// connections again.
+// TestDialTimeoutFailsBurst checks that the attempts of a burst fail to connect when their dials time out,
+// and that nothing of them is written once the cache accepts connections again.
 func TestDialTimeoutFailsBurst(t *testing.T) {
 	addr, accept := slowAcceptServer(t)
 	harness := newLoopHarness(t, addr, func(c *config.Config) { c.Transport.DialTimeout = 300_000 })
@@ -104,7 +104,8 @@
 	harness.wantServedNext(func() *fakeCache { return cache })
 }
 
-// wantServedNext wants the next request to be the first that the server is sent, on a connection that is then idle.
+// wantServedNext checks that the next request is the first that the cache receives, and that its connection
+// is idle afterwards.
 func (h *loopHarness) wantServedNext(server func() *fakeCache) {
 	h.t.Helper()
 	req := h.newRequest(nil)
@@ -112,15 +113,15 @@
 	h.sendAttempt(req, long)
 	cmd := receive(h.t, server().commands, "command")
 	if cmd.args[2] != "last" {
-		h.t.Errorf("the server was sent %q", cmd.args)
+		h.t.Errorf("the cache was sent %q", cmd.args)
 	}
 	cmd.reply(h.t, servedReply)
 	h.wantOutcome(policy.Served)
 	h.wantIdleConns(1)
 }
 
-// TestSlowDialSendsNoEndedAttempt: the attempt that it was dialed for has ended, and the next request uses the
-// connection.
+// TestSlowDialSendsNoEndedAttempt checks that a connection whose attempt ended during the dial carries
+// nothing of that attempt and is used for the next request.
 func TestSlowDialSendsNoEndedAttempt(t *testing.T) {
 	for name, end := range map[string]func(*loopHarness, *request){
 		"timed out": func(_ *loopHarness, req *request) { req.attempts[0].abandon(policy.TimedOut) },
@@ -128,9 +129,9 @@
 			req.attempts[0].startBefore = harness.loop.now
 			harness.loop.pools["c1"].dispatch()
 		},
-		"cancelled":   func(harness *loopHarness, req *request) { harness.loop.perform(policy.Cancel{ID: req.id, Attempt: 0}) },
-		"rejected":    func(harness *loopHarness, req *request) { harness.loop.perform(policy.Reject{ID: req.id}) },
-		"client gone": func(harness *loopHarness, req *request) { harness.loop.clientDisconnected(req.client) },
+		"cancelled":           func(harness *loopHarness, req *request) { harness.loop.perform(policy.Cancel{ID: req.id, Attempt: 0}) },
+		"rejected":            func(harness *loopHarness, req *request) { harness.loop.perform(policy.Reject{ID: req.id}) },
+		"client disconnected": func(harness *loopHarness, req *request) { harness.loop.clientDisconnected(req.client) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -145,7 +146,8 @@
 	}
 }
 
-// TestDialTimeoutFailsNoLaterAttempt: a later attempt has a dial and a dial deadline of its own.
+// TestDialTimeoutFailsNoLaterAttempt checks that a dial timeout does not fail a later attempt, which has a
+// dial and a dial deadline of its own.
 func TestDialTimeoutFailsNoLaterAttempt(t *testing.T) {
 	addr, accept := slowAcceptServer(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -186,7 +188,7 @@
 	harness.wantOutcome(policy.ConnectFailed)
 }
 
-// TestDrainDuringDial: a queued attempt is not sent once the router knows that the server is draining.
+// TestDrainDuringDial checks that a queued attempt is not sent once its cache is known to be draining.
 func TestDrainDuringDial(t *testing.T) {
 	addr := unreachableAddr(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -201,7 +203,7 @@
 	harness.wantOutcome(policy.NotSent)
 }
 
-// TestBurstStaysWithinConnectionLimit: a burst is served one request after the other on few connections.
+// TestBurstStaysWithinConnectionLimit checks that a burst is served on few connections, one after the other.
 func TestBurstStaysWithinConnectionLimit(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 12 })
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -21,14 +21,14 @@
 	"reset":      (*testClient).reset,
 }
 
-// TestClientDisconnectsAfterLastCommand checks that a disconnect is noticed although no more
-// commands are taken from the client, so that nothing is forwarded for it.
+// TestClientDisconnectsAfterLastCommand checks that the router detects a disconnect when it takes no more
+// commands from the client. Otherwise it would still forward requests for that client.
 func TestClientDisconnectsAfterLastCommand(t *testing.T) {
 	for name, wire := range map[string]string{
-		"draining":       "",
-		"QUIT":           encodeCommand("QUIT"),
-		"protocol error": "*x\r\n",
-		"much rubbish":   rubbishBeyondDiscard(),
+		"draining":                         "",
+		"QUIT":                             encodeCommand("QUIT"),
+		"protocol error":                   "*x\r\n",
+		"garbage beyond the discard limit": rubbishBeyondDiscard(),
 	} {
 		for method, disconnect := range disconnects {
 			t.Run(name+", "+method, func(t *testing.T) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestClientDisconnectsBehindFullReplyQueue fills the queue of replies, so that the router does not
-// read on to the end of the connection.
+// TestClientDisconnectsBehindFullReplyQueue checks that the router detects a disconnect while the reply queue
+// is full, although it then does not read up to the end of the connection.
 func TestClientDisconnectsBehindFullReplyQueue(t *testing.T) {
 	for method, disconnect := range disconnects {
 		t.Run(method, func(t *testing.T) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestDisconnectIsDetectedBeforeSend has the disconnect reported to the loop only after the engine
-// has decided to forward the request.
+// TestDisconnectIsDetectedBeforeSend checks that a request is not forwarded if its client has disconnected
+// but the event loop is notified of this only after the engine has decided to forward the request.
 func TestDisconnectIsDetectedBeforeSend(t *testing.T) {
 	for method, disconnect := range disconnects {
 		t.Run(method, func(t *testing.T) {
@@ -73,7 +73,7 @@
 			client := dial(t, router.addr)
 			client.send(getCommand("r0"))
 			req := harness.onlyRequest()
-			harness.do(func() { // an idle connection takes the next attempt at once
+			harness.do(func() { // without a settle time an idle connection is used for the next attempt at once
 				harness.loop.settleTime = 0
 				harness.loop.perform(policy.Send{ID: req.id, Cache: "c1"})
 			})
@@ -98,7 +98,7 @@
 	}
 }
 
-// sendingEngine sends each request to cache c1 at once, and once more if the cache failed it.
+// sendingEngine sends each request to cache c1 at once, and once more if the cache replies with an error.
 type sendingEngine struct{ scriptedEngine }
 
 func (s *sendingEngine) Handle(now policy.Time, ev policy.Event) []policy.Action {
@@ -125,7 +125,7 @@
 	return g.Listener.Accept()
 }
 
-// disconnectTest is a router in front of one cache, with some idle connections to it.
+// disconnectTest is a router with one cache, which it knows as c1 and c2, and some idle connections to it.
 type disconnectTest struct {
 	t        *testing.T
 	cache    *fakeCache
@@ -184,7 +184,7 @@
 	d.harness.loop.perform(policy.Send{ID: req.id, Cache: cache})
 }
 
-// disconnect ends a client's connection and waits until the router's side of it shows that.
+// disconnect ends a client's connection and waits until the router's socket shows that.
 func (d *disconnectTest) disconnect(client *testClient, method func(*testClient)) {
 	method(client)
 	d.waitForDisconnects(1)
@@ -204,8 +204,8 @@
 	return client, d.harness.onlyRequest()
 }
 
-// sendSecondRequest sends a request beside one that is in flight. It returns the client and a
-// function that performs the first attempt.
+// sendSecondRequest sends a request while another one is in flight. It returns the client and a function that
+// has the loop send the first attempt of the second request.
 func (d *disconnectTest) sendSecondRequest() (client *testClient, perform func()) {
 	client = d.dial()
 	client.send(getCommand("r1"))
@@ -222,7 +222,7 @@
 	}
 }
 
-// waitForDisconnects waits until the router's side of so many connections shows that they ended.
+// waitForDisconnects waits until the router's sockets show that n clients have disconnected.
 func (d *disconnectTest) waitForDisconnects(n int) {
 	waitUntil(d.t, "disconnected clients", func() bool {
 		d.router.srv.mu.Lock()
@@ -237,13 +237,13 @@
 	})
 }
 
-// waitForQueuedEvents waits until so many functions are posted to the loop.
+// waitForQueuedEvents waits until at least n functions and new requests are queued in the loop.
 func (d *disconnectTest) waitForQueuedEvents(n int) {
 	waitUntil(d.t, "events in the queue", func() bool { return len(d.harness.loop.events)+len(d.harness.loop.newRequests) >= n })
 }
 
-// wantNothingSent has one more request served. If another one had been forwarded before, the cache
-// would have received it first.
+// wantNothingSent has one more request served and checks that the cache receives no other command before it.
+// A command that had been forwarded earlier would arrive first.
 func (d *disconnectTest) wantNothingSent() {
 	d.t.Helper()
 	args := [][]byte{[]byte("C.GET"), []byte("k1"), []byte("last"), []byte("c=read,d=20000")}
@@ -263,12 +263,13 @@
 	}
 }
 
-// TestNoAttemptStartsAfterDisconnect checks each way in which an attempt comes to write its first
-// byte. The client has disconnected just before, and the loop has yet to be told.
+// TestNoAttemptStartsAfterDisconnect checks that no attempt writes its first byte after the client has
+// disconnected, although the loop has not been notified of this yet. It covers each way in which an attempt
+// gets to that point.
 func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	for name, c := range map[string]struct {
 		idleConns int
-		run       func(d *disconnectTest, method func(*testClient)) // called while the loop is free
+		run       func(d *disconnectTest, method func(*testClient)) // called outside the event loop
 	}{
 		"first attempt":                       {1, (*disconnectTest).beforeFirstAttempt},
 		"first attempt, and a poll fails":     {1, (*disconnectTest).beforeFirstAttemptWithFailingPoll},
@@ -349,7 +350,7 @@
 	client, req := d.sendRequest()
 	d.do(func() {
 		d.perform(req, "c1")
-		d.waitForQueuedEvents(1) // the connection is up
+		d.waitForQueuedEvents(1) // the connection is established
 		d.disconnect(client, method)
 	})
 }
@@ -375,10 +376,10 @@
 	client, performSecond := d.sendSecondRequest()
 	d.do(func() {
 		performSecond()
-		d.harness.loop.upstreamConns-- // a descriptor is released, ...
+		d.harness.loop.upstreamConns-- // as if a descriptor had been released
 		d.harness.loop.pools["c1"].dispatch()
 		d.harness.loop.upstreamConns++
-		d.waitForQueuedEvents(1) // ... and the connection is up
+		d.waitForQueuedEvents(1) // the connection is established
 		d.disconnect(client, method)
 	})
 	busy.reply(d.t, servedReply)
@@ -421,8 +422,8 @@
 	})
 }
 
-// TestFailedPollLosesNoRequest checks that a request is served whose client could not be looked at for
-// a moment.
+// TestFailedPollLosesNoRequest checks that a request is served although polling its client's socket fails at
+// first.
 func TestFailedPollLosesNoRequest(t *testing.T) {
 	for _, failure := range []error{unix.ENOMEM, unix.EINTR} {
 		t.Run(failure.Error(), func(t *testing.T) {
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -36,7 +36,7 @@
 			if body == "" {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
-			_, _ = fmt.Fprint(w, body) // fails only if the router has gone
+			_, _ = fmt.Fprint(w, body) // fails only if the router has closed the connection
 		case <-done:
 		case <-r.Context().Done():
 		}
@@ -44,8 +44,8 @@
 	return addr, calls
 }
 
-// TestWatchContinuesAfterResponse: each response is followed by a call for the changes after it, and its list is
-// applied.
+// TestWatchContinuesAfterResponse checks that the router applies the list in each response and then calls for
+// the changes after it.
 func TestWatchContinuesAfterResponse(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := newFakeDiscovery(t)
@@ -63,7 +63,7 @@
 	client.send(getCommand("r1"))
 	receive(t, cache.commands, "command").reply(t, servedReply)
 	client.wantLine("value")
-	second.reply <- endpointListJSON(9, true) // a snapshot without the cache: it is removed
+	second.reply <- endpointListJSON(9, true) // the snapshot lacks the cache, so the router removes it
 	receive(t, calls, "call")
 	receive(t, cache.closed, "end of the idle connection")
 	client.send(getCommand("r2"))
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestWatchWithoutKnownList asks for a snapshot first.
+// TestWatchWithoutKnownList checks that a router without a known list calls for a snapshot first.
 func TestWatchWithoutKnownList(t *testing.T) {
 	addr, calls := newFakeDiscovery(t)
 	startRouter(t, testConfig(t, addr, func(in map[string]any) { delete(in, "known") }))
@@ -81,7 +81,8 @@
 	}
 }
 
-// TestRequiredWatchIsRetried at the policy's own pace.
+// TestRequiredWatchIsRetried checks that a failed watch which the policy requires is retried at the interval
+// that the policy sets.
 func TestRequiredWatchIsRetried(t *testing.T) {
 	addr, calls := newFakeDiscovery(t)
 	startRouter(t, testConfig(t, addr, func(in map[string]any) {
@@ -93,8 +94,9 @@
 	}
 }
 
-// TestOptionalWatchIsOpened: where the policy opens no watch, the router does so by itself and retries after a
-// failed call. A cache that is notified as draining gets no new requests.
+// TestOptionalWatchIsOpened checks that the router opens a watch by itself if the policy does not open one,
+// that it retries after a failed call, and that a cache gets no new requests after a notification that it is
+// draining.
 func TestOptionalWatchIsOpened(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := newFakeDiscovery(t)
@@ -114,8 +116,9 @@
 	}
 }
 
-// TestMovedDiscovery: the watch continues at the new address, from the known version where a watch has a cost and
-// with a snapshot elsewhere. A late response of the old service does not hold against that of the new one.
+// TestMovedDiscovery checks that the watch continues at the new address: from the known version if the settings
+// require a watch, whose calls then have a cost, and with a snapshot otherwise. A late response of the old service
+// does not override that of the new one.
 func TestMovedDiscovery(t *testing.T) {
 	for mode, want := range map[string]string{"subscribe": "/discovery/hosts?after=1&wait_ms=3000", "automatic": "/discovery/hosts"} {
 		cache := newFakeCache(t)
@@ -125,7 +128,7 @@
 			endpointJSON("c1", cache.addr(), "in_service")))
 		oldCall := receive(t, oldCalls, "call")
 		router.srv.MoveDiscovery("127.0.0.1:1")
-		router.srv.MoveDiscovery(moved) // a second signal before the first had any effect
+		router.srv.MoveDiscovery(moved) // a second SIGHUP before the first one has taken effect
 		first := receive(t, calls, "call at the new address")
 		if first.query != want {
 			t.Errorf("%s: call %s, want %s", mode, first.query, want)
@@ -142,7 +145,7 @@
 	}
 }
 
-// failWatch fails a watch and returns the delay until the loop opens the next.
+// failWatch fails a watch and returns the delay until the loop opens the next one, or -1 if it will not.
 func failWatch(l *eventLoop) policy.Time {
 	l.watchFailed(errors.New("no discovery"))
 	for _, t := range l.timers {
@@ -153,7 +156,8 @@
 	return -1
 }
 
-// TestFailedWatchesBackOff: the delays grow and differ, up to a bound, until a list is received.
+// TestFailedWatchesBackOff checks that the delays after failed watches differ, grow up to a bound, and are
+// short again after a list has been received.
 func TestFailedWatchesBackOff(t *testing.T) {
 	harness := newLoopHarness(t, newFakeCache(t).addr(), func(c *config.Config) { c.Settings.WatchRequired = false })
 	harness.do(func() {
@@ -161,7 +165,7 @@
 		for round := range 20 {
 			harness.loop.watchBackoff.Reset()
 			for i := range 8 {
-				// Half of the drain grace: changes during an outage count as notified soon after its end.
+				// At most half of the drain grace, because changes during an outage count as notified soon after it ends.
 				longest := min(discovery.BackoffBase<<min(i, discovery.MaxBackoffDoublings), harness.loop.cfg.Settings.DrainGrace/2)
 				delay := failWatch(harness.loop)
 				if delays[delay] = true; delay < longest/2 || delay > longest {
@@ -174,7 +178,7 @@
 		}
 		list := discovery.EndpointList{Version: 5}
 		if harness.loop.applyEndpoints(list, list.Kind()); failWatch(harness.loop) > discovery.BackoffBase {
-			t.Error("after a list was received the delay is still a long one")
+			t.Error("the delay is still long after a list was received")
 		}
 		const longest = discovery.BackoffBase << discovery.MaxBackoffDoublings
 		harness.loop.cfg.Settings.DrainGrace = 10 * longest
@@ -187,7 +191,8 @@
 	})
 }
 
-// TestDiscoveryClientConfig: the bounds of the client follow the memory and the kind of discovery.
+// TestDiscoveryClientConfig checks that the maximum response size follows the memory limit, and that the wait
+// of a watch follows the discovery mode.
 func TestDiscoveryClientConfig(t *testing.T) {
 	for mode, wait := range map[string]time.Duration{"subscribe": 3 * time.Second, "automatic": 2 * time.Second} {
 		cfg := testConfig(t, "127.0.0.1:1", func(in map[string]any) { in["settings"].(map[string]any)["discovery"] = mode })
@@ -201,8 +206,8 @@
 	}
 }
 
-// TestOutOfOrderListFetchesSnapshot: changes that do not follow the known version lead to a call for a snapshot,
-// not to the same call for ever.
+// TestOutOfOrderListFetchesSnapshot checks that changes that do not follow the known version lead to a call
+// for a snapshot. Otherwise the router would repeat the same call forever.
 func TestOutOfOrderListFetchesSnapshot(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		addr, calls := newFakeDiscovery(t)
@@ -233,15 +238,16 @@
 	}
 }
 
-// TestStalledWatchIsReopenedInTime: changes that it misses count as notified 6 s after it stalled, however long it
-// was to wait. By then another watch has to be open, behind the longest backoff after one failure.
+// TestStalledWatchIsReopenedInTime checks that another watch is open when changes missed by a stalled watch
+// count as notified, even after the longest backoff that follows one failure. They count as notified 6 s
+// after the watch stalled, however long its wait was.
 func TestStalledWatchIsReopenedInTime(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscribe"} {
 		cfg := testConfig(t, "127.0.0.1:1", func(in map[string]any) { in["settings"].(map[string]any)["discovery"] = mode })
 		backoff := time.Duration(discovery.BackoffBase) * time.Microsecond
 		deadline := time.Duration(policy.NotificationTimeout) * time.Microsecond
 		if mode == "subscribe" {
-			backoff = time.Duration(cfg.Settings.DrainGrace) * time.Microsecond // the policy's longest
+			backoff = time.Duration(cfg.Settings.DrainGrace) * time.Microsecond // the policy's longest backoff
 		}
 		reopened := discoveryClientConfig(cfg).WatchWait + discovery.ResponseAllowance + backoff
 		if reopened >= deadline {
@@ -256,8 +262,8 @@
 	failsAfter policy.Time // how long a call takes to fail
 }
 
-// TestFirstCallAfterOutageIsInTime: whatever became of the calls before, the first call after the service is back
-// starts early enough to end by the notification deadline, and the calls of many routers are spread.
+// TestFirstCallAfterOutageIsInTime checks that the first call after an outage starts early enough to end by
+// the notification deadline, however earlier calls failed, and that the calls of many routers are spread.
 func TestFirstCallAfterOutageIsInTime(t *testing.T) {
 	stall := (discovery.WatchWait(true) + discovery.ResponseAllowance).Microseconds()
 	outages := []outage{{"refusal", 100}, {"stall", stall}, {"lost packets", discovery.ResponseAllowance.Microseconds()}, {"503", 5000}}
@@ -268,11 +274,12 @@
 	}
 }
 
-// testFirstCalls checks the first calls of many routers after the outage, which ends at the given time and up to
-// five seconds later.
+// testFirstCalls checks the first calls of many routers after an outage that ends between recoversAt and five
+// seconds later.
 func testFirstCalls(t *testing.T, o outage, recoversAt policy.Time) {
 	t.Helper()
-	const callAllowance, routers = 500_000, 200 // microseconds that the call may take; seeds
+	// The call may take callAllowance microseconds. Each router has its own seed.
+	const callAllowance, routers = 500_000, 200
 	callsByTenth := map[policy.Time]int{}
 	for seed := range uint64(routers) {
 		settings := testConfig(t, "127.0.0.1:1", nil).Settings
@@ -290,8 +297,9 @@
 	}
 }
 
-// firstCallAfterOutage simulates a policy whose watches fail until the discovery service is back, a call in flight at that
-// moment too. It returns how long after that the first call starts that succeeds.
+// firstCallAfterOutage simulates a policy whose watches fail until the discovery service recovers, as does a
+// call in flight at that moment. It returns the time from the recovery to the start of the first successful
+// call.
 func firstCallAfterOutage(t *testing.T, settings policy.Settings, seed uint64, failsAfter, recoversAt policy.Time) policy.Time {
 	t.Helper()
 	engine, err := policy.New(settings, seed)
--- a/internal/router/drain_busy_test.go
+++ b/internal/router/drain_busy_test.go
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// sendUntilClosed sends the wire form again and again until the router ends the connection.
+// sendUntilClosed sends the same bytes repeatedly until the router closes the connection.
 func (c *testClient) sendUntilClosed(wire string) {
 	for {
 		if _, err := io.WriteString(c.nc, wire); err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// countReplies counts the complete lines that come until the router ends the connection.
+// countReplies counts the complete lines received until the router closes the connection.
 func (c *testClient) countReplies(replies *atomic.Int64) {
 	for {
 		if _, err := c.reader.ReadString('\n'); err != nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestDrainEndsBusyConnections checks that each request that the router reads is answered, and that
-// none is read in part, on a connection on which the client sends on and on.
+// TestDrainEndsBusyConnections checks that a drain ends a connection on which the client keeps sending, that
+// each request that the router has read is answered, and that none is read only in part.
 func TestDrainEndsBusyConnections(t *testing.T) {
 	srv := newReadyServer(t)
 	engine := &failingEngine{}
@@ -69,12 +69,12 @@
 		t.Errorf("%d replies to at least %d requests", got, want)
 	}
 	if got, want := system.bytesRead.Load(), replies.Load()*int64(len(command)); got != want {
-		t.Errorf("%d bytes were read, but commands of %d bytes answered", got, want)
+		t.Errorf("%d bytes were read, but the answered commands have %d bytes", got, want)
 	}
 }
 
-// TestDrainAnswersConnectionsAcceptedAtItsEnd checks that the first command of a connection is answered
-// at once where the router finds a descriptor for it only when the last replies are due.
+// TestDrainAnswersConnectionsAcceptedAtItsEnd checks that the first command of a connection is answered at
+// once if no descriptor is available for the connection until the last replies are due.
 func TestDrainAnswersConnectionsAcceptedAtItsEnd(t *testing.T) {
 	srv, err := New(testConfig(t, silentDiscovery(t), withMinSockets, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	if err != nil {
--- a/internal/router/drain_hang_test.go
+++ b/internal/router/drain_hang_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestDrainWithHangingCache checks that each request gets its final answer where the only cache hangs
-// through the whole shutdown: requests in flight, those behind them on their connections, and those
-// of connections that are opened after SIGTERM.
+// TestDrainWithHangingCache checks that each request gets its final reply although the only cache hangs
+// during the whole shutdown. It covers requests in flight, requests pipelined behind them, and requests on
+// connections that are opened after SIGTERM.
 func TestDrainWithHangingCache(t *testing.T) {
 	cache := newFakeCache(t) // does not reply
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv.lateAcceptTime = 2 * time.Second // for a slow machine to connect after SIGTERM
+	srv.lateAcceptTime = 2 * time.Second // long enough for a slow machine to connect after SIGTERM
 	srv.drainTime = srv.lateAcceptTime
 	router := startServer(t, srv)
 	const pipelined = 20
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestDrainWaitsForStalledReply checks that the router does not end while a reply is being written,
-// though its last replies were due.
+// TestDrainWaitsForStalledReply checks that the router does not end while a reply is being written, even
+// after the time at which the last replies are due.
 func TestDrainWaitsForStalledReply(t *testing.T) {
 	srv := newReadyServer(t)
 	srv.loop.engine = &failingEngine{}
@@ -66,7 +66,7 @@
 	select {
 	case err := <-router.ended:
 		t.Errorf("the router ended with %v before its reply was written", err)
-	case <-time.After(killDelay): // SIGKILL may come later, and the reply is owed until then
+	case <-time.After(killDelay): // SIGKILL may come later; until then the router has to deliver the reply
 	}
 	close(write.resume)
 	client.wantLine("-ERR failed")
--- a/internal/router/drain_stall_test.go
+++ b/internal/router/drain_stall_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestDrainAcceptsAfterStall holds the router up in the Accept that is to take a queued connection
-// while it drains, for longer than the deadline of that Accept. The kernel has accepted the
-// connection, and so the request on it.
+// TestDrainAcceptsAfterStall checks that a queued connection is accepted during a drain although the router
+// stalls in Accept for longer than the deadline of that Accept. The kernel has already accepted the
+// connection and the request on it.
 func TestDrainAcceptsAfterStall(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -14,8 +14,8 @@
 	"marlstage/policy"
 )
 
-// TestDrainWithRequestsInFlight checks that after SIGTERM connections and requests are still
-// accepted, that all accepted requests are answered, and that the router then ends.
+// TestDrainWithRequestsInFlight checks that the router still accepts connections and requests after SIGTERM,
+// answers all accepted requests, and then ends.
 func TestDrainWithRequestsInFlight(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -75,12 +75,12 @@
 	}
 }
 
-// wantOpen checks that the connection stays open for longer than an evicted one.
+// wantOpen checks that the connection stays open for longer than one that is being evicted.
 func (c *testClient) wantOpen() {
 	c.t.Helper()
 	c.setReadDeadline(3 * evictionGrace)
 	if b, err := c.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.t.Fatalf("got %q, %v from a connection that is to stay open", b, err)
+		c.t.Fatalf("got %q, %v from a connection that has to stay open", b, err)
 	}
 	c.setReadDeadline(testTimeout)
 }
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestDrainAcceptsCommandsBehindRequestsInFlight checks that a command is accepted on a connection
-// that the drain leaves open.
+// TestDrainAcceptsCommandsBehindRequestsInFlight checks that a command is accepted on a connection that the
+// drain leaves open because a request on it is in flight.
 func TestDrainAcceptsCommandsBehindRequestsInFlight(t *testing.T) {
 	cache := newFakeCache(t)
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -111,7 +111,7 @@
 	client.wantClosed()
 }
 
-// TestDrainWaitsForPartialCommand checks that a drain gives a partial command its usual time.
+// TestDrainWaitsForPartialCommand checks that a drain does not shorten the timeout of a partial command.
 func TestDrainWaitsForPartialCommand(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
@@ -132,8 +132,8 @@
 	client.wantClosed()
 }
 
-// TestDrainAcceptsQueuedConnections checks that a drain serves connections that wait for a
-// descriptor: the kernel has accepted them, and the requests sent on them.
+// TestDrainAcceptsQueuedConnections checks that a drain serves connections that wait for a descriptor,
+// because the kernel has already accepted them and the requests sent on them.
 func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), withMinSockets, endpointJSON("c1", cache.addr(), "in_service")))
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestDrainTimeLeavesRoomForStalls checks that the last replies have reached their clients before
-// SIGKILL where the router is stalled before it notices SIGTERM, and again before it writes, and that
-// the router serves for as long as new connections come.
+// TestDrainTimeLeavesRoomForStalls checks that the last replies reach their clients before SIGKILL even if
+// the router stalls before it notices SIGTERM and again before it writes the replies, and that the router
+// serves for as long as new connections arrive.
 func TestDrainTimeLeavesRoomForStalls(t *testing.T) {
 	const (
 		stall               = 150 * time.Millisecond
@@ -191,9 +191,8 @@
 	}
 }
 
-// TestDrainBoundsRequestDeadlines checks that requests are answered before SIGKILL, however long
-// their clients would wait: those accepted before SIGTERM, those accepted later, and those that come
-// when the last replies are due.
+// TestDrainBoundsRequestDeadlines checks that requests are answered before SIGKILL, whatever their timeouts
+// are. It covers requests accepted before SIGTERM, after it, and when the last replies are due.
 func TestDrainBoundsRequestDeadlines(t *testing.T) {
 	harness := newLoopHarness(t, "127.0.0.1:1", nil)
 	early := harness.newRequest(nil)
@@ -225,8 +224,8 @@
 	}
 }
 
-// TestBytesSentDuringCloseDoNotReset checks that bytes sent while the router closes the connection
-// do not reset it, which could lose the last reply.
+// TestBytesSentDuringCloseDoNotReset checks that bytes sent while the router closes the connection do not
+// cause a reset, which could discard the last reply.
 func TestBytesSentDuringCloseDoNotReset(t *testing.T) {
 	router := startRouter(t, testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 	client := dial(t, router.addr)
@@ -236,7 +235,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the router's end of the connection", func() bool {
+	waitUntil(t, "the end of the connection by the router", func() bool {
 		fds := []unix.PollFd{{Events: unix.POLLRDHUP}}
 		var pollErr error
 		err := raw.Control(func(fd uintptr) {
@@ -250,12 +249,11 @@
 	}
 	client.wantLine("+OK")
 	if _, err := client.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the connection ended with %v", err)
+		t.Errorf("the connection ended with %v, want EOF", err)
 	}
 }
 
-// TestBlockedLogDoesNotBlockTheRouter checks that a log which nobody reads keeps the router neither
-// from serving nor from ending.
+// TestBlockedLogDoesNotBlockTheRouter checks that the router serves and ends while writes to its log block.
 func TestBlockedLogDoesNotBlockTheRouter(t *testing.T) {
 	writer := blockedWriter{release: make(chan struct{})}
 	log.SetOutput(writer)
@@ -276,8 +274,7 @@
 	}
 }
 
-// TestFilledSlotIsReturnedAfterLoopEnds checks that a reply which was given before the event
-// loop ended is not dropped.
+// TestFilledSlotIsReturnedAfterLoopEnds checks that a reply given before the event loop ended is not dropped.
 func TestFilledSlotIsReturnedAfterLoopEnds(t *testing.T) {
 	loop := &eventLoop{done: make(chan struct{})}
 	close(loop.done)
--- a/internal/router/hanging_discovery_test.go
+++ b/internal/router/hanging_discovery_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// hangingDiscovery replies to each call with the same bytes and leaves the connection open. It reports each call, and
-// each connection that the router ends.
+// hangingDiscovery replies to each call with the same bytes and leaves the connection open. It reports each
+// call, and each connection that the router closes.
 type hangingDiscovery struct {
 	addr  string
 	calls chan string
@@ -41,16 +41,17 @@
 func (d *hangingDiscovery) hang(nc net.Conn, wire string) {
 	req, err := http.ReadRequest(bufio.NewReader(nc))
 	if err != nil {
-		return // the router closed the connection before it called
+		return // the router closed the connection before it sent a call
 	}
-	_, _ = io.WriteString(nc, wire) // fails only if the router has gone
+	_, _ = io.WriteString(nc, wire) // fails only if the router has closed the connection
 	d.calls <- req.URL.String()
-	_, _ = io.Copy(io.Discard, nc) // until the router ends the connection
+	_, _ = io.Copy(io.Discard, nc) // until the router closes the connection
 	d.ended <- struct{}{}
 }
 
-// TestMoveDiscoveryWhileCallsHang: an old call that hangs, wherever in its response, does not delay the call after SIGHUP, also
-// at the same address and many times in a row. The last ones are left to run; the connections of earlier ones are closed.
+// TestMoveDiscoveryWhileCallsHang checks that an old call that hangs anywhere in its response does not delay
+// the call after SIGHUP, even to the same address and after many moves in a row. The most recent old calls
+// continue to run; the connections of earlier ones are closed.
 func TestMoveDiscoveryWhileCallsHang(t *testing.T) {
 	const moves = 5 + maxReplacedWatches
 	for _, wire := range []string{"", "HTTP/1.1 200 OK\r\nContent-Le", statusOK + "Content-Length: 100\r\n\r\n{\"index\":9,"} {
@@ -69,7 +70,7 @@
 			t.Errorf("%q: %d moves took %v", wire, moves, elapsed)
 		}
 		for range moves {
-			router.srv.MoveDiscovery(d.addr) // in a row: some calls are given up before they are made
+			router.srv.MoveDiscovery(d.addr) // without waiting, so that some calls are cancelled before they are made
 		}
 		receive(t, d.calls, "call after many moves")
 		(&loopHarness{t: t, loop: router.srv.loop}).do(func() {
--- a/internal/router/last_command_test.go
+++ b/internal/router/last_command_test.go
@@ -8,10 +8,10 @@
 	"marlstage/internal/resp"
 )
 
-// The reading of a connection ends at the end of a command: each one that is read, in part or in full,
-// is answered, and what follows it stays unread, so that its client may send it once more.
+// The router stops reading a connection at the end of a command. It answers each command that it has read in part
+// or in full and leaves the bytes after it unread, so that the client may send them again.
 
-// lastCommandTest is a router that fails each request at once, with one client.
+// lastCommandTest is a router whose engine fails each request at once, with one client.
 type lastCommandTest struct {
 	t      *testing.T
 	router *runningRouter
@@ -35,15 +35,15 @@
 	return &lastCommandTest{t, router, system, client}
 }
 
-// waitForBytes waits until the router has read so many bytes and waits for more. A read that is just about
-// to be made takes what comes, up to the size of its buffer.
+// waitForBytes waits until the router has read n bytes and the next read has found nothing. A read that is
+// still to be made would take what the client sends next, up to the size of its buffer.
 func (l *lastCommandTest) waitForBytes(n int) {
 	l.t.Helper()
 	waitUntil(l.t, "a read behind the bytes", func() bool { return l.system.readBeforeEmptyRead.Load() == int64(n) })
 }
 
-// wantEnd checks that the router ends the connection and has read so many bytes, whatever else the
-// client sends.
+// wantEnd checks that the router closes the connection and has read exactly bytesRead bytes, whatever else
+// the client has sent.
 func (l *lastCommandTest) wantEnd(bytesRead int) {
 	l.t.Helper()
 	l.client.wantClosed()
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestDrainReadsCommandToItsEnd checks that a command of which a part was read before the last replies
-// of a drain were due is read to its end and answered, and that nothing behind it is read.
+// TestDrainReadsCommandToItsEnd checks that a command of which a part was read before the last replies of a
+// drain were due is read to its end and answered, and that nothing after it is read.
 func TestDrainReadsCommandToItsEnd(t *testing.T) {
 	for name, command := range map[string]string{
 		"get": getCommand("r1"),
@@ -68,24 +68,24 @@
 				l.waitForBytes(part)
 				l.router.srv.stopNewCommands()
 				l.client.send(command[part:] + strings.Repeat(command, 3))
-				l.client.wantLine("-ERR failed") // the loop has not been told of a drain, and asks the engine
+				l.client.wantLine("-ERR failed") // the loop does not know of the drain and passes the request to the engine
 				l.wantEnd(len(command))
 			})
 		}
 	}
 }
 
-// TestDrainEndsWithinPipeline checks that a pipeline whose end is not read yet is answered up to the
-// command in which the reading ends.
+// TestDrainEndsWithinPipeline checks that a pipeline that has been read only in part when the last replies
+// are due is answered up to and including the command in which reading stops.
 func TestDrainEndsWithinPipeline(t *testing.T) {
 	l := newLastCommandTest(t, nil)
 	command := getCommand("r1")
 	const commands = 5
 	stalled := fault{begun: make(chan struct{}), resume: make(chan struct{}), maxBytes: commands*len(command) - 7}
 	l.system.inject(callRead, stalled)
-	l.client.send(strings.Repeat(command, 2*commands)) // the waiting read takes a part of it, ...
+	l.client.send(strings.Repeat(command, 2*commands)) // the pending read takes only a part of it
 	receive(t, stalled.begun, "read")
-	l.router.srv.stopNewCommands() // ... and returns when no more is to be read
+	l.router.srv.stopNewCommands() // before the pending read returns
 	close(stalled.resume)
 	for range commands {
 		l.client.wantLine("-ERR failed")
@@ -93,8 +93,8 @@
 	l.wantEnd(commands * len(command))
 }
 
-// TestNothingIsReadAfterIncompleteCommand checks that what comes behind a reply to an incomplete command stays
-// unread: the rest of the command, and commands of a client that was slow only.
+// TestNothingIsReadAfterIncompleteCommand checks that the router reads nothing after its reply to an
+// incomplete command: neither the rest of the command nor later commands of a client that was only slow.
 func TestNothingIsReadAfterIncompleteCommand(t *testing.T) {
 	const shortTimeout = 50 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -102,7 +102,7 @@
 		end  func(*Server)
 		want string
 	}{
-		"time for a command": {
+		"command timeout": {
 			edit: func(srv *Server) { srv.commandTimeout = shortTimeout },
 			end:  func(*Server) {},
 			want: "-ERR Protocol error: " + errCommandTimeout.Error(),
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestCommandsBehindQuitAreAnswered checks that commands which are read together with a QUIT before
-// them are answered.
+// TestCommandsBehindQuitAreAnswered checks that commands that are read together with a QUIT in front of them
+// are answered.
 func TestCommandsBehindQuitAreAnswered(t *testing.T) {
 	l := newLastCommandTest(t, nil)
 	command := getCommand("r1")
@@ -148,8 +148,8 @@
 	l.wantEnd(len(quit) + 2*len(command))
 }
 
-// TestGarbageEndsConnectionWithFewReads checks that the end of bytes that have none is not sought byte by byte when the
-// last replies of a drain are due.
+// TestGarbageEndsConnectionWithFewReads checks that the router does not read byte by byte in search of the
+// end of a command in garbage when the last replies of a drain are due.
 func TestGarbageEndsConnectionWithFewReads(t *testing.T) {
 	for name, garbage := range map[string]string{
 		"inline":         strings.Repeat("x", resp.MaxCommandSize/2),
@@ -168,7 +168,7 @@
 			}
 			l.client.wantClosed()
 			if reads := l.system.callCount(callRead); reads > 2*maxLastReads {
-				t.Errorf("%d reads", reads)
+				t.Errorf("%d reads, want %d at most", reads, 2*maxLastReads)
 			}
 		})
 	}
--- a/internal/router/many_caches_test.go
+++ b/internal/router/many_caches_test.go
@@ -9,7 +9,7 @@
 // fleetSize is the number of routers and caches that the router has to support.
 const fleetSize = 1024
 
-// manyEndpoints lists n caches at one address.
+// manyEndpoints returns n endpoints with the same address.
 func manyEndpoints(n int, addr string) []string {
 	var endpoints []string
 	for i := range n {
@@ -18,7 +18,7 @@
 	return endpoints
 }
 
-// heapInUse is the number of bytes in live objects.
+// heapInUse returns the number of bytes in live objects.
 func heapInUse() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -26,8 +26,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// TestManyCachesFewDescriptors checks that with 1,024 caches idle connections are closed for want of
-// descriptors, that no request is lost, and that memory stays far under 32 MB.
+// TestManyCachesFewDescriptors checks with 1,024 caches that idle connections are closed when descriptors run
+// short, that no request is lost, and that memory use stays far below 32 MB.
 func TestManyCachesFewDescriptors(t *testing.T) {
 	cache := newFakeCache(t)
 	cfg := testConfig(t, silentDiscovery(t), func(in map[string]any) {
@@ -50,10 +50,10 @@
 		maxConns = max(maxConns, receive(t, done, "number of connections"))
 	}
 	if free := newDescriptorBudget(256).maxUpstreamConns; maxConns > free || maxConns < free/2 {
-		t.Errorf("%d connections to caches at once, of %d", maxConns, free)
+		t.Errorf("%d connections to caches at once, want between half and all of %d", maxConns, free)
 	}
 	if used := heapInUse() - before; used > 16<<20 {
-		t.Errorf("%d MB are in use, the test's own included", used>>20)
+		t.Errorf("%d MB of heap are in use, including those of the test", used>>20)
 	}
 	done := make(chan int)
 	router.srv.loop.post(func() { done <- len(router.srv.loop.pools) })
--- a/internal/router/moved_discovery_test.go
+++ b/internal/router/moved_discovery_test.go
@@ -19,8 +19,9 @@
 	})
 }
 
-// TestListFromOldDiscoveryAfterMove: a drain that the old service tells after SIGHUP is applied while the new one
-// is silent. The call to the new service then still continues from the version that it asked for, also after a failure.
+// TestListFromOldDiscoveryAfterMove checks that a drain reported by the old service after SIGHUP is applied
+// while the new service is silent. The call to the new service then still continues from the version that it
+// first requested, even after a failure.
 func TestListFromOldDiscoveryAfterMove(t *testing.T) {
 	for mode, want := range map[string]string{"subscribe": "/discovery/hosts?after=1&wait_ms=3000", "automatic": "/discovery/hosts"} {
 		t.Run(mode, func(t *testing.T) {
@@ -41,8 +42,8 @@
 	}
 }
 
-// TestListFromFirstReplacedDiscovery: a drain that the old service tells after several SIGHUPs in a row is applied
-// while the new ones are silent.
+// TestListFromFirstReplacedDiscovery checks that a drain reported by the first service after several moves in
+// a row is applied while the new services are silent.
 func TestListFromFirstReplacedDiscovery(t *testing.T) {
 	old, oldCalls := newFakeDiscovery(t)
 	silent := newHangingDiscovery(t, "")
@@ -56,7 +57,8 @@
 	harnessFor(t, router).waitUntilOutOfService("c1")
 }
 
-// TestListReadBeforeMove: a list that is read but not applied yet is applied after SIGHUP, also after two in a row.
+// TestListReadBeforeMove checks that a list that has been read but not applied yet is applied after one move,
+// and after two in a row.
 func TestListReadBeforeMove(t *testing.T) {
 	for _, moves := range []int{1, 2} {
 		old, oldCalls := newFakeDiscovery(t)
@@ -83,7 +85,7 @@
 	}
 }
 
-// TestOldCallEndsOnceNewDiscoveryAnswers: the first list of the new service ends the old call.
+// TestOldCallEndsOnceNewDiscoveryAnswers checks that the first list of the new service ends the old call.
 func TestOldCallEndsOnceNewDiscoveryAnswers(t *testing.T) {
 	old := newHangingDiscovery(t, "")
 	moved, calls := newFakeDiscovery(t)
@@ -100,7 +102,8 @@
 	receive(t, old.ended, "end of the old call")
 }
 
-// TestOldCallEndsInTime: where the new service stays silent, the old call ends when changes count as notified.
+// TestOldCallEndsInTime checks that the old call ends when changes count as notified if the new service stays
+// silent.
 func TestOldCallEndsInTime(t *testing.T) {
 	old, moved := newHangingDiscovery(t, ""), newHangingDiscovery(t, "")
 	loop := newStoppedLoop(t, nil)
@@ -116,11 +119,12 @@
 	loop.runDueTimers()
 	receive(t, old.ended, "end of the old call")
 	if elapsed := time.Since(begun); elapsed > 2*time.Second {
-		t.Errorf("the old call ran into its own timeout, %v later", elapsed)
+		t.Errorf("the old call ended only after %v, by its own timeout", elapsed)
 	}
 }
 
-// TestLateListOfOldDiscovery: a list of the old service is dropped once the new one has delivered a list.
+// TestLateListOfOldDiscovery checks that a list of the old service is dropped once the new one has delivered
+// a list.
 func TestLateListOfOldDiscovery(t *testing.T) {
 	old, oldCalls := newFakeDiscovery(t)
 	moved, calls := newFakeDiscovery(t)
--- a/internal/router/read_ahead_test.go
+++ b/internal/router/read_ahead_test.go
@@ -9,8 +9,8 @@
 	"marlstage/internal/resp"
 )
 
-// TestClientDisconnectsBehindCommandsReadAhead has a client send more commands than the router's machine
-// takes while their reader waits, and disconnect. Its end comes behind them.
+// TestClientDisconnectsBehindCommandsReadAhead checks that a disconnect is detected behind more commands than
+// the receive window holds while their reader waits for room in the reply queue.
 func TestClientDisconnectsBehindCommandsReadAhead(t *testing.T) {
 	for method, disconnect := range disconnects {
 		t.Run(method, func(t *testing.T) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestCommandsReadAheadAreAnswered checks that commands are answered in order which were read while
-// the queue of replies was full.
+// TestCommandsReadAheadAreAnswered checks that commands that were read while the reply queue was full are
+// answered in order.
 func TestCommandsReadAheadAreAnswered(t *testing.T) {
 	router, harness := startScriptedRouter(t, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 	client := dial(t, router.addr)
@@ -51,18 +51,18 @@
 	router.waitForFreeMemory(t)
 }
 
-// sendPings sends numbered PINGs, as far as the connection takes them.
+// sendPings sends numbered PINGs until the connection takes no more.
 func (c *testClient) sendPings(pings int) {
 	for i := range pings {
 		if _, err := io.WriteString(c.nc, encodeCommand("PING", strconv.Itoa(i))); err != nil {
-			return // the test finds that replies are missing
+			return // the test fails because replies are missing
 		}
 	}
 }
 
-// TestCommandsBeyondReadAheadAreRejected checks that the router reads on behind a full reply queue and a full
-// read-ahead, as a client's end would else stay hidden: each command gets its own reply or a rejection, in
-// the order of the commands.
+// TestCommandsBeyondReadAheadAreRejected checks that the router continues to read when both the reply queue
+// and the read-ahead are full, because otherwise a disconnect would stay hidden. Each command gets its own
+// reply or a rejection, in the order of the commands.
 func TestCommandsBeyondReadAheadAreRejected(t *testing.T) {
 	router, harness := startScriptedRouter(t, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 	client := dial(t, router.addr)
@@ -74,7 +74,7 @@
 		defer close(sent)
 		client.sendPings(pings)
 	}()
-	receive(t, sent, "end of the sending, although no reply is read")
+	receive(t, sent, "end of sending while no reply is read")
 	harness.do(func() {
 		for id := range harness.loop.requests {
 			harness.loop.finishRequest(id, requestFailed, []byte(resp.FailedReply))
@@ -97,8 +97,8 @@
 	router.waitForFreeMemory(t)
 }
 
-// TestFloodWithoutRequestsWaits checks that what a client sends without reading waits, and costs the router
-// nothing, where no request of it is open: its end need not be seen.
+// TestFloodWithoutRequestsWaits checks that commands of a client that reads no replies wait, at no cost to
+// the router, if the client has no open request: its disconnect need not be detected then.
 func TestFloodWithoutRequestsWaits(t *testing.T) {
 	router, _ := startScriptedRouter(t, endpointJSON("c1", "127.0.0.1:1", "in_service"))
 	client := dial(t, router.addr)
@@ -111,8 +111,8 @@
 	router.waitForFreeMemory(t)
 }
 
-// TestClientDisconnectsBehindFlood has a client send more than the router reads ahead, and disconnect, while
-// its first commands are in flight.
+// TestClientDisconnectsBehindFlood checks that a disconnect is detected behind more bytes than the router
+// reads ahead, while the first commands are in flight.
 func TestClientDisconnectsBehindFlood(t *testing.T) {
 	for method, disconnect := range disconnects {
 		t.Run(method, func(t *testing.T) {
--- a/internal/router/ready_test.go
+++ b/internal/router/ready_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// readyTimeout is how soon after its start a router has to answer PING with PONG.
+// readyTimeout is the time after its start within which a router has to answer PING with PONG.
 const readyTimeout = 10 * time.Second
 
-// wantReady checks that a router which was started at the given time is ready in time.
+// wantReady checks that a router that was started at the given time becomes ready in time.
 func (c *testClient) wantReady(started time.Time) {
 	c.t.Helper()
 	c.send(encodeCommand("PING"))
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestReadyBehindConnectionBacklog checks that a router becomes ready behind many queued connections,
-// whether their clients send something or nothing. None of them reacts when the router closes its
+// TestReadyBehindConnectionBacklog checks that a router becomes ready although many connections are queued in
+// front, whether or not their clients send anything. None of these clients reacts when the router closes its
 // connection.
 func TestReadyBehindConnectionBacklog(t *testing.T) {
 	for name, wire := range map[string]string{
@@ -87,8 +87,8 @@
 	return d
 }
 
-// TestReadyWithDiscoveryDown checks that the endpoints known from the configuration are enough to
-// become ready, however many they are.
+// TestReadyWithDiscoveryDown checks that the endpoints known from the configuration, however many they are,
+// suffice for a router to become ready while discovery is down.
 func TestReadyWithDiscoveryDown(t *testing.T) {
 	for name, addr := range map[string]string{
 		"connection refused": "127.0.0.1:1",
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestReadyOnceDiscoveryIsUp checks that a router without a known cache becomes ready once discovery is
-// up, although its first call is never answered, and not before it knows a cache.
+// TestReadyOnceDiscoveryIsUp checks that a router without a known cache becomes ready once discovery is up,
+// although its first call is never answered, and that it is not ready before it knows a cache.
 func TestReadyOnceDiscoveryIsUp(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		for _, mode := range []string{"subscribe", "automatic"} {
@@ -132,7 +132,7 @@
 						settings["rules"].(map[string]any)["askEvery"] = 1_000_000
 					}))
 					if query := receive(t, d.callsWhileDown, "call"); query != "/discovery/hosts" {
-						t.Errorf("call %s, want one that may not wait", query)
+						t.Errorf("call %s, want one for a snapshot without a wait", query)
 					}
 					client := dial(t, router.addr)
 					client.send(encodeCommand("PING"))
--- a/internal/router/reply_queue_test.go
+++ b/internal/router/reply_queue_test.go
@@ -6,8 +6,8 @@
 	"marlstage/internal/socket"
 )
 
-// TestReplyQueueMergesRejections checks the order of a queue's slots, that rejections in a row share one, and
-// that those of commands which await their replies are bounded.
+// TestReplyQueueMergesRejections checks that slots are returned in order, that consecutive rejections share a
+// slot, and that the number of commands that await their replies is bounded.
 func TestReplyQueueMergesRejections(t *testing.T) {
 	q := newReplyQueue()
 	slots := make([]*replySlot, 0, maxPipelined+1)
@@ -24,7 +24,7 @@
 	q.addRejected()
 	q.addRejected()
 	if q.next() != slots[0] || !add() {
-		t.Fatal("the first slot is not taken, or leaves no room")
+		t.Fatal("the first slot was not returned, or its removal left no room")
 	}
 	q.addRejected()
 	q.close()
@@ -38,7 +38,7 @@
 	}
 	wantRejections(t, q.next(), 1)
 	if q.next() != nil {
-		t.Error("the queue does not end")
+		t.Error("a closed queue returned a slot after the last one")
 	}
 }
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestUnqueuedReplyReleasesMemory checks that a reply which cannot be queued, as the client has left
-// behind a full reply queue, keeps nothing of the memory budget.
+// TestUnqueuedReplyReleasesMemory checks that a reply that cannot be queued, because the client has
+// disconnected while the reply queue was full, releases its memory.
 func TestUnqueuedReplyReleasesMemory(t *testing.T) {
 	cache := newFakeCache(t)
 	router, _ := startScriptedRouter(t, endpointJSON("c1", cache.addr(), "in_service"))
@@ -69,6 +69,6 @@
 		t.Errorf("state %d, want %d", state, connDisconnected)
 	}
 	if inUse := router.srv.memory.inUse.Load(); inUse != 0 {
-		t.Errorf("%d bytes are still counted", inUse)
+		t.Errorf("%d bytes are still counted in the memory budget", inUse)
 	}
 }
--- a/internal/router/settings_test.go
+++ b/internal/router/settings_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// otherSettings differ from testSettings in as much as they can: a class that must not run twice, a request with an
-// idempotency key that is deduplicated in its group only, two attempts, no hedged requests, no health checks, load
-// reports with other names, a short idle time.
+// otherSettings differ from testSettings in as many ways as possible: a class that must not run twice, a
+// request with an idempotency key that is deduplicated in its group only, two attempts, no hedged requests,
+// no health checks, load reports with other names, a short idle time.
 const otherSettings = `{"instances":3,"discovery":"automatic","weights":"none",
  "categories":[{"name":"seat-map","effect":"read_like","dedupScope":"all","aim":5000000,"hardLimit":20000000,"keyTtl":5000000,"worth":3},
   {"name":"hold-check","effect":"idempotency_key","dedupScope":"cell","aim":5000000,"hardLimit":20000000,"keyTtl":20000000,"worth":4},
@@ -18,7 +18,7 @@
  "report":{"fields":["lat_ms","rif"],"via":"answers"},
  "rules":{"drainGrace":700000,"cold":3000000,"fall":2000000,"startCapacity":0.2,"tipMultiple":2,"askEvery":10000000}}`
 
-// closeConnection stands for a reply: the cache closes the connection instead.
+// closeConnection, in place of a reply, has the cache close the connection.
 const closeConnection = ""
 
 // settingsCase is a request under otherSettings.
@@ -29,7 +29,7 @@
 	sameGroup bool // all attempts go to the group of the first
 }
 
-// TestRetriesFollowSettings: whether and where a request is retried comes from the settings alone.
+// TestRetriesFollowSettings checks that the settings alone determine whether and where a request is retried.
 func TestRetriesFollowSettings(t *testing.T) {
 	for name, c := range map[string]settingsCase{
 		"idempotent, retried":                 {"seat-map", []string{closeConnection, servedReply}, "value", false},
@@ -48,7 +48,7 @@
 	}
 }
 
-// run sends the request to a router with two caches in groups of their own.
+// run sends the request to a router with two caches in different groups.
 func (c settingsCase) run(t *testing.T) {
 	t.Helper()
 	caches := map[string]*fakeCache{"c1": newFakeCache(t), "c2": newFakeCache(t)}
@@ -91,7 +91,7 @@
 	case cmd = <-c2.commands:
 		return "c2", cmd
 	case <-time.After(testTimeout):
-		t.Fatalf("attempt %d did not come", attempt)
+		t.Fatalf("attempt %d did not arrive", attempt)
 		panic("unreachable")
 	}
 }
--- a/internal/router/slow_client_test.go
+++ b/internal/router/slow_client_test.go
@@ -9,8 +9,8 @@
 	"marlstage/internal/resp"
 )
 
-// TestSlowClientWrites: a client is served if its command is complete within the command timeout, and gets an error
-// otherwise. A byte doesn't restart the timeout.
+// TestSlowClientWrites checks that a client is served if its command is complete within the command timeout,
+// and gets an error otherwise. Receiving a byte does not restart the timeout.
 func TestSlowClientWrites(t *testing.T) {
 	for name, inTime := range map[string]bool{"in time": true, "too late": false} {
 		t.Run(name, func(t *testing.T) {
@@ -28,7 +28,7 @@
 			client := dial(t, startServer(t, srv).addr)
 			client.send(encodeCommand("PING"))
 			client.wantLine("+PONG")
-			ticker := time.NewTicker(10 * time.Millisecond) // ten seconds for the long one
+			ticker := time.NewTicker(10 * time.Millisecond) // the long command takes ten seconds
 			defer ticker.Stop()
 			go func() {
 				for i := range len(wire) {
@@ -54,9 +54,8 @@
 	}
 }
 
-// TestPartialCommandBehindRequest checks that the time for a partial command also ends where requests
-// before it are in flight, and where the connection is to be closed after them. The error comes behind
-// their replies.
+// TestPartialCommandBehindRequest checks that the timeout of a partial command also applies behind requests
+// in flight, and on a connection that is to be closed after them. The error follows their replies.
 func TestPartialCommandBehindRequest(t *testing.T) {
 	for name, draining := range map[string]bool{"serving": false, "draining": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/stall_monitor_test.go
+++ b/internal/router/stall_monitor_test.go
@@ -6,7 +6,7 @@
 	"marlstage/policy"
 )
 
-// TestStallMonitor checks since when bytes may have arrived that are read after heartbeats, and stalls.
+// TestStallMonitor checks the earliest arrival time of bytes that are read after heartbeats and stalls.
 func TestStallMonitor(t *testing.T) {
 	const (
 		start        policy.Time = 1_000_000
@@ -15,19 +15,19 @@
 	)
 	for name, c := range map[string]struct {
 		beats  []policy.Time // after the start
-		readAt policy.Time   // after the start, too
+		readAt policy.Time   // after the start
 		want   policy.Time
 		stalls int
 	}{
-		"running":               {[]policy.Time{interval, 2 * interval}, 2*interval + 5, 2*interval + 5, 0},
-		"a heartbeat is late":   {[]policy.Time{interval}, interval + minStall - 1, interval + minStall - 1, 0},
-		"read ends a stall":     {[]policy.Time{interval}, interval + longestStall, interval, 1},
-		"read behind a stall":   {[]policy.Time{interval, interval + longestStall}, interval + longestStall + backlogTime - 1, interval, 1},
-		"read long behind it":   {[]policy.Time{longestStall, longestStall + interval}, longestStall + backlogTime, longestStall + backlogTime, 1},
-		"two stalls in a row":   {[]policy.Time{interval, interval + 50_000, interval + 60_000}, interval + 120_000, interval, 2},
-		"two long ones":         {[]policy.Time{800_000, 810_000}, 810_000 + longestStall, 810_000 - longestStall, 2},
-		"two stalls apart":      {[]policy.Time{longestStall, longestStall + backlogTime}, 2*longestStall + backlogTime, longestStall + backlogTime, 2},
-		"an older clock's read": {[]policy.Time{longestStall}, longestStall - 1, 0, 1},
+		"running":                   {[]policy.Time{interval, 2 * interval}, 2*interval + 5, 2*interval + 5, 0},
+		"a heartbeat is late":       {[]policy.Time{interval}, interval + minStall - 1, interval + minStall - 1, 0},
+		"read ends a stall":         {[]policy.Time{interval}, interval + longestStall, interval, 1},
+		"read after a stall":        {[]policy.Time{interval, interval + longestStall}, interval + longestStall + backlogTime - 1, interval, 1},
+		"read long after a stall":   {[]policy.Time{longestStall, longestStall + interval}, longestStall + backlogTime, longestStall + backlogTime, 1},
+		"two stalls in a row":       {[]policy.Time{interval, interval + 50_000, interval + 60_000}, interval + 120_000, interval, 2},
+		"two long stalls":           {[]policy.Time{800_000, 810_000}, 810_000 + longestStall, 810_000 - longestStall, 2},
+		"two stalls apart":          {[]policy.Time{longestStall, longestStall + backlogTime}, 2*longestStall + backlogTime, longestStall + backlogTime, 2},
+		"read before the heartbeat": {[]policy.Time{longestStall}, longestStall - 1, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			stalls := 0
@@ -36,7 +36,7 @@
 				m.beat(start + beat)
 			}
 			if got := m.earliestArrival(start+c.readAt) - start; got != c.want {
-				t.Errorf("arrived since %d, want %d", got, c.want)
+				t.Errorf("earliest arrival %d, want %d", got, c.want)
 			}
 			if stalls != c.stalls {
 				t.Errorf("%d stalls, want %d", stalls, c.stalls)
@@ -45,16 +45,16 @@
 	}
 }
 
-// TestArrivalDuringStall checks that bytes which may have arrived during a stall count as the oldest that
-// they can be, but not as older than the read before.
+// TestArrivalDuringStall checks that bytes that may have arrived during a stall are assumed to have arrived
+// at its beginning, but not before the previous read.
 func TestArrivalDuringStall(t *testing.T) {
 	const previous, begin, now = policy.Time(1_000_000), policy.Time(1_100_000), policy.Time(1_250_000)
 	for name, c := range map[string]struct {
 		previous, since, want policy.Time
 	}{
-		"stalled while it waited": {previous, begin, begin},
-		"read during the stall":   {begin + 10, begin, begin + 10},
-		"running":                 {previous, now, now},
+		"stall while waiting":   {previous, begin, begin},
+		"read during the stall": {begin + 10, begin, begin + 10},
+		"running":               {previous, now, now},
 	} {
 		t.Run(name, func(t *testing.T) {
 			arrival := arrivalTime{lastReadAt: c.previous}
--- a/internal/router/start_window_test.go
+++ b/internal/router/start_window_test.go
@@ -11,8 +11,8 @@
 	"marlstage/policy"
 )
 
-// TestRetryIsWrittenWithinStartWindow: a server begins a command at its last byte, so a retry that has not been
-// completely written by the end of its start window is abandoned.
+// TestRetryIsWrittenWithinStartWindow checks that a retry that has not been written completely by the end of
+// its start window is abandoned. A cache begins to execute a command at its last byte.
 func TestRetryIsWrittenWithinStartWindow(t *testing.T) {
 	addr, conns := nonReadingServer(t)
 	harness := newLoopHarness(t, addr, nil)
@@ -33,7 +33,8 @@
 	}
 }
 
-// TestRetryReplyAfterStartWindow: the reply to a retry that was written within its start window may come later.
+// TestRetryReplyAfterStartWindow checks that the reply to a retry that was written within its start window
+// may arrive after the window.
 func TestRetryReplyAfterStartWindow(t *testing.T) {
 	cache := newFakeCache(t)
 	harness := newLoopHarness(t, cache.addr(), nil)
@@ -52,8 +53,8 @@
 	harness.wantOutcome(policy.Served)
 }
 
-// TestRetryIsNotSentAfterStartWindow: a retry without a connection ends with its start window, however short, and
-// nothing of it is written later.
+// TestRetryIsNotSentAfterStartWindow checks that a retry that has no connection ends with its start window,
+// however short that is, and that nothing of it is written later.
 func TestRetryIsNotSentAfterStartWindow(t *testing.T) {
 	for _, window := range []policy.Time{300_000, 1_000_000} {
 		addr, accept := slowAcceptServer(t)
@@ -70,15 +71,16 @@
 		harness.sendAttempt(req, long)
 		cmd := receive(t, accept().commands, "command")
 		if cmd.args[2] != "last" {
-			t.Errorf("the server was sent %q", cmd.args)
+			t.Errorf("the cache was sent %q", cmd.args)
 		}
 		cmd.reply(t, servedReply)
 		harness.wantOutcome(policy.Served)
 	}
 }
 
-// TestDispatchReadsTheClock: the end of the start window or the deadline may pass during an iteration of the loop that
-// takes long, as on a stalled machine. The server is sent the timeout that is left.
+// TestDispatchReadsTheClock checks that an attempt is not sent if its start window or deadline passes during
+// a long iteration of the loop, as on a stalled machine, and that the timeout sent to the cache is the
+// remaining one.
 func TestDispatchReadsTheClock(t *testing.T) {
 	for name, send := range map[string]func(harness *loopHarness) policy.Send{
 		"start window": func(harness *loopHarness) policy.Send { return policy.Send{StartBefore: harness.loop.now + 10_000} },
@@ -117,13 +119,13 @@
 		})
 		cmd := receive(t, cache.commands, "command")
 		if d, err := strconv.Atoi(strings.TrimPrefix(cmd.args[3], "c=read,d=")); err != nil || d > 5000 {
-			t.Errorf("forwarded %q, with less than 5 s left", cmd.args[3])
+			t.Errorf("forwarded %q, although at most 5 s are left", cmd.args[3])
 		}
 	})
 }
 
-// TestKeyedWriteIsNotRetriedAfterKeyTTL: a write with an idempotency key that may have been executed is retried only
-// while its key is valid.
+// TestKeyedWriteIsNotRetriedAfterKeyTTL checks that a write that may have been executed is not retried once
+// its idempotency key has expired.
 func TestKeyedWriteIsNotRetriedAfterKeyTTL(t *testing.T) {
 	for _, keyTTL := range []time.Duration{300 * time.Millisecond, time.Second} {
 		cache := newFakeCache(t)
@@ -142,7 +144,7 @@
 			t.Errorf("key TTL %v: reply %q", keyTTL, got)
 		}
 		if len(cache.commands) > 0 {
-			t.Errorf("key TTL %v: it was retried", keyTTL)
+			t.Errorf("key TTL %v: the write was retried", keyTTL)
 		}
 	}
 }
