--- a/internal/router/dial_fault_test.go
+++ b/internal/router/dial_fault_test.go
@@ -20,7 +20,7 @@
 			harness := newLoopHarness(t, unreachableAddr(t), nil)
 			system := harness.useFaultySystem()
 			system.injectError(callDial, err, 100)
-			harness.sendAttempt(harness.newRequest(nil), long)
+			harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			harness.wantOutcome(policy.ConnectFailed)
 			if dials := system.callCount(callDial); dials != 1 {
 				t.Errorf("%d dials, want 1", dials)
@@ -79,7 +79,7 @@
 			}
 			const burst = 10
 			for range burst {
-				harness.sendAttempt(harness.newRequest(nil), long)
+				harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			}
 			for range burst {
 				harness.wantOutcome(want)
--- a/internal/router/dial_test.go
+++ b/internal/router/dial_test.go
@@ -16,7 +16,7 @@
 // that the first handshake of each connection fails, so connections are established late.
 func slowAcceptServer(t *testing.T) (addr string, accept func() *fakeCache) {
 	t.Helper()
-	addr, fd := fullAcceptQueue(t)
+	addr, fd := listenWithFullAcceptQueue(t)
 	return addr, func() *fakeCache {
 		t.Helper()
 		if err := syscall.Listen(fd, 1000); err != nil {
@@ -54,7 +54,7 @@
 	harness := newLoopHarness(t, addr, nil)
 	const burst = 50
 	for range burst {
-		harness.sendAttempt(harness.newRequest(nil), long)
+		harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	}
 	harness.do(func() {
 		if p := harness.loop.pools["c1"]; p.dialing != maxDials || len(p.queue) != burst {
@@ -89,7 +89,7 @@
 	harness := newLoopHarness(t, addr, func(c *config.Config) { c.Transport.DialTimeout = 300_000 })
 	const burst = 50
 	for range burst {
-		harness.sendAttempt(harness.newRequest(nil), long)
+		harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	}
 	for range burst {
 		harness.wantOutcome(policy.ConnectFailed)
@@ -110,7 +110,7 @@
 	h.t.Helper()
 	req := h.newRequest(nil)
 	h.do(func() { req.command.Args[resp.IDArgument] = []byte("last") })
-	h.sendAttempt(req, long)
+	h.sendAttempt(req, longTimeout)
 	cmd := receive(h.t, server().commands, "command")
 	if cmd.args[2] != "last" {
 		h.t.Errorf("the cache was sent %q", cmd.args)
@@ -138,7 +138,7 @@
 			addr, accept := slowAcceptServer(t)
 			harness := newLoopHarness(t, addr, nil)
 			req := harness.newRequest(nil)
-			harness.sendAttempt(req, long)
+			harness.sendAttempt(req, longTimeout)
 			harness.do(func() { end(harness, req) })
 			harness.wantOutcome(policy.NotSent)
 			harness.wantServedNext(accept)
@@ -152,7 +152,7 @@
 	addr, accept := slowAcceptServer(t)
 	harness := newLoopHarness(t, addr, nil)
 	req, later := harness.newRequest(nil), harness.newRequest(nil)
-	harness.sendAttempt(req, long)
+	harness.sendAttempt(req, longTimeout)
 	harness.do(func() {
 		p := harness.loop.pools["c1"]
 		var first *upstreamConn
@@ -178,13 +178,13 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	harness := newLoopHarness(t, addr, nil)
-	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	harness.wantOutcome(policy.ConnectFailed)
 }
 
 func TestDialTimeoutIsConnectFailed(t *testing.T) {
 	harness := newLoopHarness(t, unreachableAddr(t), func(c *config.Config) { c.Transport.DialTimeout = 50_000 })
-	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	harness.wantOutcome(policy.ConnectFailed)
 }
 
@@ -192,7 +192,7 @@
 func TestDrainDuringDial(t *testing.T) {
 	addr := unreachableAddr(t)
 	harness := newLoopHarness(t, addr, nil)
-	harness.sendAttempt(harness.newRequest(nil), long)
+	harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	harness.do(func() {
 		list, err := discovery.ParseEndpointList([]byte(endpointListJSON(2, false, endpointJSON("c1", addr, "terminating"))))
 		if err != nil {
@@ -209,7 +209,7 @@
 	harness := newLoopHarness(t, cache.addr(), func(c *config.Config) { c.Settings.Routers = 12 })
 	const burst = 100
 	for range burst {
-		harness.sendAttempt(harness.newRequest(nil), long)
+		harness.sendAttempt(harness.newRequest(nil), longTimeout)
 	}
 	conns := map[net.Conn]bool{}
 	for range burst {
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -28,7 +28,7 @@
 		"draining":                         "",
 		"QUIT":                             encodeCommand("QUIT"),
 		"protocol error":                   "*x\r\n",
-		"garbage beyond the discard limit": rubbishBeyondDiscard(),
+		"garbage beyond the discard limit": rubbishBeyondDiscardLimit(),
 	} {
 		for method, disconnect := range disconnects {
 			t.Run(name+", "+method, func(t *testing.T) {
@@ -163,7 +163,7 @@
 	t.Cleanup(func() { close(d.listener.admit) })
 	var busy []fakeCommand
 	for range idleConns {
-		d.harness.sendAttempt(d.harness.newRequest(nil), long)
+		d.harness.sendAttempt(d.harness.newRequest(nil), longTimeout)
 		busy = append(busy, receive(t, cache.commands, "command"))
 	}
 	for _, cmd := range busy {
@@ -252,7 +252,7 @@
 		d.t.Fatal(err)
 	}
 	d.do(func() { d.harness.loop.engine = &d.engine.scriptedEngine })
-	d.harness.sendAttempt(d.harness.acceptCommand(cmd), long)
+	d.harness.sendAttempt(d.harness.acceptCommand(cmd), longTimeout)
 	for {
 		got := receive(d.t, d.cache.commands, "command")
 		if got.args[2] == "last" {
@@ -357,7 +357,7 @@
 
 func (d *disconnectTest) waitingForConnection(method func(*testClient)) {
 	d.do(func() { d.harness.loop.pools["c1"].maxConns = 1 })
-	d.harness.sendAttempt(d.harness.newRequest(nil), long)
+	d.harness.sendAttempt(d.harness.newRequest(nil), longTimeout)
 	busy := receive(d.t, d.cache.commands, "command")
 	client, performSecond := d.sendSecondRequest()
 	d.do(func() {
--- a/internal/router/drain_busy_test.go
+++ b/internal/router/drain_busy_test.go
@@ -42,7 +42,7 @@
 // TestDrainEndsBusyConnections checks that a drain ends a connection on which the client keeps sending, that
 // each request that the router has read is answered, and that none is read only in part.
 func TestDrainEndsBusyConnections(t *testing.T) {
-	srv := newReadyServer(t)
+	srv := newServerWithCache(t)
 	engine := &failingEngine{}
 	srv.loop.engine = engine
 	srv.loop.maxTimeout = 1000
--- a/internal/router/start_window_test.go
+++ b/internal/router/start_window_test.go
@@ -14,7 +14,7 @@
 // TestRetryIsWrittenWithinStartWindow checks that a retry that has not been written completely by the end of
 // its start window is abandoned. A cache begins to execute a command at its last byte.
 func TestRetryIsWrittenWithinStartWindow(t *testing.T) {
-	addr, conns := nonReadingServer(t)
+	addr, conns := nonReadingCache(t)
 	harness := newLoopHarness(t, addr, nil)
 	harness.allowSlowWrites()
 	req := largeRequest(harness)
@@ -68,7 +68,7 @@
 		}
 		req = harness.newRequest(nil)
 		harness.do(func() { req.command.Args[resp.IDArgument] = []byte("last") })
-		harness.sendAttempt(req, long)
+		harness.sendAttempt(req, longTimeout)
 		cmd := receive(t, accept().commands, "command")
 		if cmd.args[2] != "last" {
 			t.Errorf("the cache was sent %q", cmd.args)
@@ -90,7 +90,7 @@
 			cache := newFakeCache(t)
 			harness := newLoopHarness(t, cache.addr(), nil)
 			harness.do(func() { harness.loop.settleTime = 0 })
-			harness.sendAttempt(harness.newRequest(nil), long)
+			harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			receive(t, cache.commands, "command").reply(t, servedReply)
 			harness.wantOutcome(policy.Served)
 			req := harness.newRequest([]byte("v"))
@@ -108,7 +108,7 @@
 		cache := newFakeCache(t)
 		harness := newLoopHarness(t, cache.addr(), nil)
 		harness.do(func() { harness.loop.settleTime = 0 })
-		harness.sendAttempt(harness.newRequest(nil), long)
+		harness.sendAttempt(harness.newRequest(nil), longTimeout)
 		receive(t, cache.commands, "command").reply(t, servedReply)
 		harness.wantOutcome(policy.Served)
 		req := harness.newRequest(nil)
