--- a/internal/router/hanging_discovery_test.go
+++ b/internal/router/hanging_discovery_test.go
@@ -58,7 +58,7 @@
 		d := newHangingDiscovery(t, wire)
 		router := startRouter(t, testConfig(t, d.addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 		receive(t, d.calls, "call")
-		begun := time.Now()
+		started := time.Now()
 		for move := range moves {
 			router.srv.MoveDiscovery(d.addr)
 			receive(t, d.calls, "call after a move")
@@ -66,7 +66,7 @@
 				receive(t, d.ended, "end of the oldest call")
 			}
 		}
-		if elapsed := time.Since(begun); elapsed > 2*time.Second {
+		if elapsed := time.Since(started); elapsed > 2*time.Second {
 			t.Errorf("%q: %d moves took %v", wire, moves, elapsed)
 		}
 		for range moves {
--- a/internal/router/last_command_test.go
+++ b/internal/router/last_command_test.go
@@ -39,7 +39,7 @@
 // still to be made would take what the client sends next, up to the size of its buffer.
 func (l *lastCommandTest) waitForBytes(n int) {
 	l.t.Helper()
-	waitUntil(l.t, "a read behind the bytes", func() bool { return l.system.bytesReadAtEmptyRead.Load() == int64(n) })
+	waitUntil(l.t, "an empty read after the bytes", func() bool { return l.system.bytesReadAtEmptyRead.Load() == int64(n) })
 }
 
 // wantEnd checks that the router closes the connection and has read exactly bytesRead bytes, whatever else
--- a/internal/router/moved_discovery_test.go
+++ b/internal/router/moved_discovery_test.go
@@ -114,11 +114,11 @@
 	cfg.Discovery = moved.addr
 	loop.moveDiscovery(&cfg)
 	receive(t, moved.calls, "call at the new address")
-	begun := time.Now()
+	started := time.Now()
 	loop.now += moveRetryPeriod
 	loop.runDueTimers()
 	receive(t, old.ended, "end of the old call")
-	if elapsed := time.Since(begun); elapsed > 2*time.Second {
+	if elapsed := time.Since(started); elapsed > 2*time.Second {
 		t.Errorf("the old call ended only after %v, by its own timeout", elapsed)
 	}
 }
