--- a/internal/router/dial_fault_test.go
+++ b/internal/router/dial_fault_test.go
@@ -11,8 +11,9 @@
 	"marlstage/policy"
 )
 
-// TestDialErrorOfPeerIsConnectFailed checks that an error of connect that the system calls a timeout,
-// but that is not the router's own, fails the attempt: nothing is gained by dialing again at once.
+// TestDialErrorOfPeerIsConnectFailed checks that a connect error that does not come from the router's own
+// machine fails the attempt without another dial, because dialing again at once gains nothing. This includes
+// ETIMEDOUT, which the system reports as a timeout although it is not the router's own dial timeout.
 func TestDialErrorOfPeerIsConnectFailed(t *testing.T) {
 	for _, err := range []error{unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNREFUSED, unix.ECONNRESET} {
 		t.Run(err.Error(), func(t *testing.T) {
@@ -22,23 +23,23 @@
 			harness.sendAttempt(harness.newRequest(nil), longTimeout)
 			harness.wantOutcome(policy.ConnectFailed)
 			if dials := system.callCount(callDial); dials != 1 {
-				t.Errorf("%d dials", dials)
+				t.Errorf("%d dials, want 1", dials)
 			}
 		})
 	}
 }
 
-// machineFaults are errors of connect, socket and epoll_ctl that come from the router's own machine.
-var machineFaults = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EADDRINUSE,
+// localErrors are errors of connect, socket and epoll_ctl that are caused by the router's own machine.
+var localErrors = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EADDRINUSE,
 	unix.EAGAIN, unix.EINTR, unix.ECONNABORTED, unix.ENOSPC}
 
-// routeFaults are errors of connect that tell of a route that is missing, perhaps for a moment.
-var routeFaults = []error{unix.ENETUNREACH, unix.ENETDOWN}
+// routeErrors are errors of connect that report a missing route, which may be temporary.
+var routeErrors = []error{unix.ENETUNREACH, unix.ENETDOWN}
 
-// TestDialIsRepeatedAfterFaultOfOwnMachine checks that attempts outlast a fault that is not the
-// server's.
-func TestDialIsRepeatedAfterFaultOfOwnMachine(t *testing.T) {
-	for _, err := range append(routeFaults, machineFaults...) {
+// TestDialIsRetriedAfterLocalError checks that attempts survive a few dial errors that the cache has not
+// caused.
+func TestDialIsRetriedAfterLocalError(t *testing.T) {
+	for _, err := range append(routeErrors, localErrors...) {
 		t.Run(err.Error(), func(t *testing.T) {
 			cache := newFakeCache(t)
 			harness := newLoopHarness(t, cache.addr(), nil)
@@ -46,22 +47,23 @@
 			system.injectError(callDial, err, 3)
 			harness.serveRequest(cache)
 			if dials := system.callCount(callDial); dials != 4 {
-				t.Errorf("%d dials", dials)
+				t.Errorf("%d dials, want 4", dials)
 			}
 			harness.wantIdleConns(1)
 		})
 	}
 }
 
-// TestLastingDialFault checks that dials do not spin while a fault of the router's own machine lasts,
-// and how the attempts end then: a machine without resources says nothing about the server, while a
-// route that is missing for so long leads to none.
-func TestLastingDialFault(t *testing.T) {
-	for _, err := range append(routeFaults, machineFaults...) {
+// TestPersistentDialError checks that the router does not dial in a busy loop while an error of its own
+// machine or a missing route lasts, and how the attempts end. A machine without resources says nothing about
+// the cache, so they end as not sent. A route that is missing for so long means that the cache cannot be
+// reached, so they end as failed to connect.
+func TestPersistentDialError(t *testing.T) {
+	for _, err := range append(routeErrors, localErrors...) {
 		t.Run(err.Error(), func(t *testing.T) {
 			t.Parallel()
 			want := policy.ConnectFailed
-			if slices.Contains(machineFaults, err) {
+			if slices.Contains(localErrors, err) {
 				want = policy.NotSent
 			}
 			const dialTimeout = 500 * time.Millisecond
@@ -82,12 +84,12 @@
 			for range burst {
 				harness.wantOutcome(want)
 			}
-			if dials, most := system.callCount(callDial), maxDials*int(dialTimeout/(10*time.Millisecond)); dials > most {
-				t.Errorf("%d dials in %v, want %d at most", dials, dialTimeout, most)
+			if dials, maxDialCount := system.callCount(callDial), maxDials*int(dialTimeout/(10*time.Millisecond)); dials > maxDialCount {
+				t.Errorf("%d dials in %v, want %d at most", dials, dialTimeout, maxDialCount)
 			}
-			waitUntil(t, "the end of the dials", func() (none bool) {
-				harness.do(func() { none = harness.loop.pools["c1"].dialing == 0 })
-				return none
+			waitUntil(t, "the end of the dials", func() (done bool) {
+				harness.do(func() { done = harness.loop.pools["c1"].dialing == 0 })
+				return done
 			})
 			harness.wantIdleConns(0)
 		})
--- a/internal/router/drain_stall_test.go
+++ b/internal/router/drain_stall_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestDrainAcceptsBehindStall holds the router up in the Accept that is to take a queued connection
-// while it drains, for longer than the deadline of that Accept. The kernel has accepted the
-// connection, and so the request on it.
-func TestDrainAcceptsBehindStall(t *testing.T) {
+// TestDrainAcceptsAfterStall checks that a queued connection is accepted during a drain although the router
+// stalls in Accept for longer than the deadline of that Accept. The kernel has already accepted the
+// connection and the request on it.
+func TestDrainAcceptsAfterStall(t *testing.T) {
 	cache := newFakeCache(t)
 	srv, err := New(testConfig(t, silentDiscovery(t), nil, endpointJSON("c1", cache.addr(), "in_service")))
 	if err != nil {
@@ -24,8 +24,8 @@
 	receive(t, stall.reached, "Accept while draining")
 	client := dial(t, router.addr)
 	client.send(getCommand("r1"))
-	begun := time.Now()
-	waitUntil(t, "the end of the deadline", func() bool { return time.Since(begun) > 2*finalAcceptTimeout })
+	started := time.Now()
+	waitUntil(t, "the end of the deadline", func() bool { return time.Since(started) > 2*finalAcceptTimeout })
 	close(stall.resume)
 	receive(t, cache.commands, "command").reply(t, servedReply)
 	client.wantLine("value")
--- a/internal/router/hanging_discovery_test.go
+++ b/internal/router/hanging_discovery_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// hangingDiscovery replies to each call with the same bytes and leaves the connection open. It reports each call, and
-// each connection that the router ends.
+// hangingDiscovery replies to each call with the same bytes and leaves the connection open. It reports each
+// call, and each connection that the router closes.
 type hangingDiscovery struct {
 	addr  string
 	calls chan string
@@ -41,39 +41,40 @@
 func (d *hangingDiscovery) hang(nc net.Conn, wire string) {
 	req, err := http.ReadRequest(bufio.NewReader(nc))
 	if err != nil {
-		return // the router closed the connection before it called
+		return // the router closed the connection before it sent a call
 	}
-	_, _ = io.WriteString(nc, wire) // fails only if the router has gone
+	_, _ = io.WriteString(nc, wire) // fails only if the router has closed the connection
 	d.calls <- req.URL.String()
-	_, _ = io.Copy(io.Discard, nc) // until the router ends the connection
+	_, _ = io.Copy(io.Discard, nc) // until the router closes the connection
 	d.ended <- struct{}{}
 }
 
-// TestMovesWhileCallsHang: an old call that hangs, wherever in its response, does not delay the call after SIGHUP, also
-// at the same address and many times in a row. The last ones are left to run; the connections of earlier ones are closed.
-func TestMovesWhileCallsHang(t *testing.T) {
+// TestMoveDiscoveryWhileCallsHang checks that an old call that hangs anywhere in its response does not delay
+// the call after SIGHUP, even to the same address and after many moves in a row. The most recent old calls
+// continue to run; the connections of earlier ones are closed.
+func TestMoveDiscoveryWhileCallsHang(t *testing.T) {
 	const moves = 5 + maxReplacedWatches
 	for _, wire := range []string{"", "HTTP/1.1 200 OK\r\nContent-Le", statusOK + "Content-Length: 100\r\n\r\n{\"index\":9,"} {
 		d := newHangingDiscovery(t, wire)
-		r := startRouter(t, testConfig(t, d.addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
+		router := startRouter(t, testConfig(t, d.addr, nil, endpointJSON("c1", "127.0.0.1:1", "in_service")))
 		receive(t, d.calls, "call")
-		begun := time.Now()
+		started := time.Now()
 		for move := range moves {
-			r.srv.MoveDiscovery(d.addr)
+			router.srv.MoveDiscovery(d.addr)
 			receive(t, d.calls, "call after a move")
 			if move >= maxReplacedWatches {
 				receive(t, d.ended, "end of the oldest call")
 			}
 		}
-		if elapsed := time.Since(begun); elapsed > 2*time.Second {
+		if elapsed := time.Since(started); elapsed > 2*time.Second {
 			t.Errorf("%q: %d moves took %v", wire, moves, elapsed)
 		}
 		for range moves {
-			r.srv.MoveDiscovery(d.addr) // in a row: some calls are given up before they are made
+			router.srv.MoveDiscovery(d.addr) // without waiting, so that some calls are cancelled before they are made
 		}
 		receive(t, d.calls, "call after many moves")
-		(&loopHarness{t: t, loop: r.srv.loop}).do(func() {
-			if !r.srv.loop.watching {
+		(&loopHarness{t: t, loop: router.srv.loop}).do(func() {
+			if !router.srv.loop.watching {
 				t.Errorf("%q: no watch is open after many moves", wire)
 			}
 		})
