--- a/internal/router/oracle_seeded_test.go
+++ b/internal/router/oracle_seeded_test.go
@@ -85,9 +85,9 @@
 	name           string
 	class          string // of the two requests that the client sends at once
 	serve          func(*seededRouter)
-	leaves         bool // the client closes as soon as both are written
-	halfCloseAfter int  // if positive, the client half-closes after so many answers; not reported to the oracle
-	staysOpen      bool // the router leaves the connection open
+	leaves         bool   // the client closes as soon as both are written
+	halfCloseAfter int    // if positive, the client half-closes after so many answers; not reported to the oracle
+	staysOpen      bool   // the router leaves the connection open
 	want           string // text in a reported violation; empty if there must be none
 }
 
--- a/internal/router/oracle_test.go
+++ b/internal/router/oracle_test.go
@@ -102,7 +102,7 @@
 
 // upstreamStream records what the router wrote to a connection to a cache.
 type upstreamStream struct {
-	partial    []byte // bytes of an incomplete command
+	partial    []byte      // bytes of an incomplete command
 	startTimes []time.Time // of the first writes of the commands
 }
 
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -7,7 +7,7 @@
 
 const (
 	testReportInterval Time = 100 * ms // time between two delay reports
-	testReportCapacity      = 50 // requests that the simulated router can handle per report interval
+	testReportCapacity      = 50       // requests that the simulated router can handle per report interval
 )
 
 // reportDelay gives the engine a delay report and returns the limit that it sets; ok is false if it sets none.
